--- a/crates/core/src/control/dispatch.rs
+++ b/crates/core/src/control/dispatch.rs
@@ -95,7 +95,7 @@
     /// Takes a request in.
     pub fn ask(&mut self, ask: Ask, step: &mut Step) {
         match self {
-            Self::Permits(agent) => agent.ask(step.view, ask, step.out),
+            Self::Permits(agent) => agent.acquire(step.view, ask, step.out),
             Self::Alone(alone) => alone.ask(step.view.directory, step.random, ask, step.out),
         }
         self.go_on(step);
@@ -130,7 +130,7 @@
     /// Takes in a message of another entry.
     pub fn message(&mut self, from: name::Incarnation, message: &permit::Message, step: &mut Step) {
         if let Self::Permits(agent) = self {
-            agent.message(step.view, from, message, step.out);
+            agent.handle_message(step.view, from, message, step.out);
         }
     }
 
@@ -148,7 +148,7 @@
             match news {
                 News::Nothing => {}
                 News::Members => agent.members_changed(step.view, step.out),
-                News::Listed => agent.listed(step.view, step.out),
+                News::Listed => agent.directory_updated(step.view, step.out),
                 News::Endpoints => agent.endpoints_changed(step.view, step.out),
                 News::Load(endpoint) => agent.endpoint_changed(step.view, endpoint, step.out),
             }
--- a/crates/core/src/permit/agent.rs
+++ b/crates/core/src/permit/agent.rs
@@ -57,7 +57,7 @@
     }
 
     /// A local request asks for a place.
-    pub fn ask(&mut self, view: View, ask: Ask, out: &mut Vec<Action>) {
+    pub fn acquire(&mut self, view: View, ask: Ask, out: &mut Vec<Action>) {
         self.step(view, out, |broker, step| broker.ask(step, ask));
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// The platform's list was read: endpoints may have come, gone or moved.
-    pub fn listed(&mut self, view: View, out: &mut Vec<Action>) {
+    pub fn directory_updated(&mut self, view: View, out: &mut Vec<Action>) {
         self.topology.update_pools(view.directory, view.members);
         self.update(view, out);
     }
@@ -144,7 +144,7 @@
     }
 
     /// Takes in a message of another entry.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         view: View,
         from: Incarnation,
--- a/crates/core/tests/permits/events.rs
+++ b/crates/core/tests/permits/events.rs
@@ -41,7 +41,7 @@
             }
             What::Deliver(_, from, message) => {
                 self.act(node, |agent, view, out| {
-                    agent.message(view, from, &message, out);
+                    agent.handle_message(view, from, &message, out);
                 });
             }
             What::Finish(_, permit) => self.finish(node, permit),
--- a/crates/core/tests/permits/network.rs
+++ b/crates/core/tests/permits/network.rs
@@ -236,7 +236,7 @@
             });
         }
         for node in 0..entries {
-            network.act(node, Agent::listed);
+            network.act(node, Agent::directory_updated);
             network.schedule(Millis(node as u64 % TICK), What::Tick(node));
         }
         network
@@ -270,7 +270,7 @@
         };
         self.requests.insert(request, state);
         let ask = ask(request, &state, identity);
-        self.act(node, |agent, view, out| agent.ask(view, ask, out));
+        self.act(node, |agent, view, out| agent.acquire(view, ask, out));
         Some(request)
     }
 
@@ -294,7 +294,7 @@
         });
         let held: Vec<Held> = held.collect();
         self.nodes[node].agent = Agent::new(incarnation(node), 2, &Limits::default());
-        self.act(node, Agent::listed);
+        self.act(node, Agent::directory_updated);
         self.act(node, |agent, view, out| agent.restore(view, held, out));
         let waiting = self.requests.iter().filter(|(request, state)| {
             request.incarnation == incarnation(node) && state.fate == Fate::Waiting
@@ -303,7 +303,7 @@
             .map(|(request, state)| ask(*request, state, 0))
             .collect();
         for ask in again {
-            self.act(node, |agent, view, out| agent.ask(view, ask, out));
+            self.act(node, |agent, view, out| agent.acquire(view, ask, out));
         }
     }
 
