--- a/crates/core/src/permit/agent.rs
+++ b/crates/core/src/permit/agent.rs
@@ -1,4 +1,5 @@
-//! The permit protocol of one entry: both sides, and what goes between them.
+//! The permit protocol of one entry: its broker, its home side, and the messages
+//! between them and other entries.
 
 use crate::clock::Millis;
 use crate::control::Directory;
@@ -10,102 +11,104 @@
 use crate::permit::broker::{Broker, Step};
 use crate::permit::home::Home;
 use crate::permit::message::{Call, Message, Reply};
-use crate::permit::post::{Local, Receipt};
-use crate::permit::{Context, Id, Post, Topology};
+use crate::permit::transport::{Loopback, Receipt};
+use crate::permit::{Context, NameHash, Topology, Transport};
 use crate::pool::Limits;
 
-/// What an entry knows at one moment, besides the protocol's own state.
+/// The state outside the protocol that an entry has at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// The time.
+    /// The current time.
     pub now: Millis,
-    /// The entries.
+    /// The entries of the fleet.
     pub members: &'a Members,
     /// The endpoints.
     pub directory: &'a Directory,
 }
 
-/// Asks for places, and grants those of the pools that this entry is home to.
+/// Requests permits for this entry's requests, and grants permits for the pools
+/// whose home this entry is.
 #[derive(Debug)]
 pub struct Agent {
     topology: Topology,
-    post: Post,
+    transport: Transport,
     broker: Broker,
     home: Home,
 }
 
 impl Agent {
-    /// An agent that knows no pools yet. The generation counts the restarts of
-    /// the control branch within this life of the entry.
+    /// Creates an agent that knows no pools yet. The generation counts the
+    /// restarts of the control branch within this incarnation of the entry.
     pub fn new(own: Incarnation, generation: u32, limits: &Limits) -> Self {
         Self {
             topology: Topology::default(),
-            post: Post::new(own, generation),
+            transport: Transport::new(own, generation),
             broker: Broker::new(limits.clone(), generation),
             home: Home::new(limits.clone(), generation),
         }
     }
 
-    /// The asking side.
+    /// Returns the requesting side.
     pub fn broker(&self) -> &Broker {
         &self.broker
     }
 
-    /// The home side.
+    /// Returns the home side.
     pub fn home(&self) -> &Home {
         &self.home
     }
 
-    /// A local request asks for a place.
+    /// Requests a permit for a local request.
     pub fn acquire(&mut self, view: View, ask: Ask, out: &mut Vec<Action>) {
-        self.step(view, out, |broker, step| broker.ask(step, ask));
+        self.run_broker(view, out, |broker, step| broker.acquire(step, ask));
     }
 
-    /// Takes in the permits that are older than this agent.
+    /// Restores the permits that were granted before this agent was created.
     pub fn restore(&mut self, view: View, held: Vec<Held>, out: &mut Vec<Action>) {
-        self.step(view, out, |broker, step| broker.restore(step, held));
+        self.run_broker(view, out, |broker, step| broker.restore(step, held));
     }
 
-    /// A local request no longer wants a place.
+    /// Withdraws a local request that no longer needs a permit.
     pub fn withdraw(&mut self, view: View, request: name::Request, out: &mut Vec<Action>) {
-        self.step(view, out, |broker, step| broker.withdraw(step, request));
+        self.run_broker(view, out, |broker, step| broker.withdraw(step, request));
     }
 
-    /// A granted request ended.
+    /// Releases the permit of a request that has ended.
     pub fn done(&mut self, view: View, done: &Done, out: &mut Vec<Action>) {
-        self.step(view, out, |broker, step| broker.done(step, done));
+        self.run_broker(view, out, |broker, step| broker.done(step, done));
     }
 
-    /// Time has passed.
+    /// Runs the periodic work: timeouts, retransmissions and messages that are
+    /// due.
     pub fn tick(&mut self, view: View, out: &mut Vec<Action>) {
         let context = view.context(&self.topology);
-        let silent = self.post.newly_silent(view.now);
-        self.home.tick(&context, &mut self.post);
+        let unresponsive = self.transport.newly_unresponsive(view.now);
+        self.home.tick(&context, &mut self.transport);
         let mut step = Step {
             context,
-            post: &mut self.post,
+            transport: &mut self.transport,
             out,
         };
-        for peer in silent {
-            self.broker.silent(&mut step, peer);
+        for peer in unresponsive {
+            self.broker.peer_unresponsive(&mut step, peer);
         }
         self.broker.tick(&mut step);
-        self.finish(view, out, true);
+        self.flush(view, out, true);
     }
 
-    /// The platform's list was read: endpoints may have come, gone or moved.
+    /// Rebuilds the topology after the platform's list of endpoints was read.
     pub fn directory_updated(&mut self, view: View, out: &mut Vec<Action>) {
         self.topology.update_pools(view.directory, view.members);
-        self.update(view, out);
+        self.apply_changes(view, out);
     }
 
-    /// Entries have come or gone.
+    /// Recomputes the homes after entries have joined or left.
     pub fn members_changed(&mut self, view: View, out: &mut Vec<Action>) {
         self.topology.update_homes(view.members);
-        self.update(view, out);
+        self.apply_changes(view, out);
     }
 
-    /// The state or the load of an endpoint has changed.
+    /// Updates the pools of an endpoint whose state or load has changed.
     pub fn endpoint_changed(
         &mut self,
         view: View,
@@ -121,29 +124,30 @@
                 target: target.clone(),
                 data_centre: endpoint.data_centre.clone(),
             };
-            let id = Id::of_pool(&pool);
+            let id = NameHash::of_pool(&pool);
             self.home
-                .update_endpoints(&context, &mut self.post, Some(id));
+                .update_endpoints(&context, &mut self.transport, Some(id));
         }
-        self.finish(view, out, false);
+        self.flush(view, out, false);
     }
 
-    /// Some endpoints came to be usable, or no longer are.
+    /// Updates all pools after endpoints have become usable or unusable.
     pub fn endpoints_changed(&mut self, view: View, out: &mut Vec<Action>) {
         let context = view.context(&self.topology);
-        self.home.update_endpoints(&context, &mut self.post, None);
-        self.finish(view, out, false);
+        self.home
+            .update_endpoints(&context, &mut self.transport, None);
+        self.flush(view, out, false);
     }
 
-    /// Requests that run at an endpoint: all of them if this entry is home to
-    /// its pool, else the own ones.
+    /// Returns the number of requests running at an endpoint: all of them if
+    /// this entry is the home of its pool, otherwise only its own.
     pub fn in_flight(&self, endpoint: &name::Endpoint) -> u32 {
         self.home
             .in_flight(endpoint)
             .max(self.broker.in_flight(endpoint))
     }
 
-    /// Takes in a message of another entry.
+    /// Processes a message from another entry.
     pub fn handle_message(
         &mut self,
         view: View,
@@ -151,78 +155,79 @@
         message: &Message,
         out: &mut Vec<Action>,
     ) {
-        if !view.context(&self.topology).alive(from) {
+        if !view.context(&self.topology).is_alive(from) {
             return;
         }
-        let Some(receipt) = self.post.receive(view.now, from, message) else {
+        let Some(receipt) = self.transport.receive(view.now, from, message) else {
             return;
         };
         for call in &message.calls {
-            self.call(view, from, receipt, call);
+            self.handle_call(view, from, receipt, call);
         }
-        // Nothing may be sent before all replies are taken in: what is sent
-        // says that this message was seen.
+        // Nothing may be sent before all replies are processed, because each
+        // message that is sent acknowledges this one.
         for reply in &message.replies {
-            self.reply(view, from, receipt, reply, out);
+            self.handle_reply(view, from, receipt, reply, out);
         }
-        if receipt.back {
-            self.step(view, out, Broker::rejoin);
+        if receipt.reconnected {
+            self.run_broker(view, out, Broker::leave_fallback);
         }
-        self.finish(view, out, false);
+        self.flush(view, out, false);
     }
 
-    fn update(&mut self, view: View, out: &mut Vec<Action>) {
+    fn apply_changes(&mut self, view: View, out: &mut Vec<Action>) {
         let context = view.context(&self.topology);
-        self.post.forget_all_but(|entry| context.alive(entry));
-        self.home.update(&context, &mut self.post);
-        self.step(view, out, Broker::update);
+        self.transport.retain_peers(|entry| context.is_alive(entry));
+        self.home.topology_changed(&context, &mut self.transport);
+        self.run_broker(view, out, Broker::topology_changed);
     }
 
-    /// One step of the asking side, and what follows from it.
-    fn step(
+    /// Runs one operation of the broker and then delivers what follows from it.
+    fn run_broker(
         &mut self,
         view: View,
         out: &mut Vec<Action>,
-        act: impl FnOnce(&mut Broker, &mut Step),
+        operation: impl FnOnce(&mut Broker, &mut Step),
     ) {
         let mut step = Step {
             context: view.context(&self.topology),
-            post: &mut self.post,
+            transport: &mut self.transport,
             out,
         };
-        act(&mut self.broker, &mut step);
-        self.finish(view, out, false);
+        operation(&mut self.broker, &mut step);
+        self.flush(view, out, false);
     }
 
-    /// Carries out what the two sides say to one another, then sends what is due.
-    fn finish(&mut self, view: View, out: &mut Vec<Action>, tick: bool) {
-        let own = self.post.own();
-        while let Some(local) = self.post.next_local() {
-            match local {
-                Local::Call(call) => self.call(view, own, Receipt::OWN, &call),
-                Local::Reply(reply) => self.reply(view, own, Receipt::OWN, &reply, out),
+    /// Delivers messages between the two local sides until none is left, then
+    /// sends the messages that are due.
+    fn flush(&mut self, view: View, out: &mut Vec<Action>, tick: bool) {
+        let own = self.transport.own();
+        while let Some(loopback) = self.transport.next_loopback() {
+            match loopback {
+                Loopback::Call(call) => self.handle_call(view, own, Receipt::OWN, &call),
+                Loopback::Reply(reply) => self.handle_reply(view, own, Receipt::OWN, &reply, out),
             }
         }
-        for (to, message) in self.post.flush(view.now, tick) {
+        for (to, message) in self.transport.flush(view.now, tick) {
             if let Some(member) = view.members.by_incarnation(to) {
                 out.push(Action::Send(member.peer, message::Message::Permit(message)));
             }
         }
     }
 
-    fn call(&mut self, view: View, from: Incarnation, receipt: Receipt, call: &Call) {
+    fn handle_call(&mut self, view: View, from: Incarnation, receipt: Receipt, call: &Call) {
         let context = view.context(&self.topology);
-        let (home, post) = (&mut self.home, &mut self.post);
+        let (home, transport) = (&mut self.home, &mut self.transport);
         match call {
-            Call::Ask(ask) => home.ask(&context, post, from, ask),
-            Call::End(end) => home.end(&context, post, from, end),
-            Call::Digest(digest) => home.digest(view.now, post, from, receipt, *digest),
-            Call::Sync(sync) => home.sync(&context, post, from, receipt, sync),
-            Call::Usage(usage) => home.usage(&context, post, from, receipt, usage),
+            Call::Acquire(acquire) => home.acquire(&context, transport, from, acquire),
+            Call::Release(release) => home.release(&context, transport, from, release),
+            Call::Digest(digest) => home.digest(view.now, transport, from, receipt, *digest),
+            Call::Sync(sync) => home.sync(&context, transport, from, receipt, sync),
+            Call::Usage(usage) => home.usage(&context, transport, from, receipt, usage),
         }
     }
 
-    fn reply(
+    fn handle_reply(
         &mut self,
         view: View,
         from: Incarnation,
@@ -233,18 +238,18 @@
         let broker = &mut self.broker;
         let step = &mut Step {
             context: view.context(&self.topology),
-            post: &mut self.post,
+            transport: &mut self.transport,
             out,
         };
         match reply {
             Reply::Grant(grant) => broker.grant(step, from, receipt, grant),
             Reply::Queued(number) => broker.queued(from, *number),
-            Reply::Shed(number, span) => broker.turned_down(step, from, *number, Some(*span)),
-            Reply::NoEndpoint(number) => broker.turned_down(step, from, *number, None),
+            Reply::Shed(number, delay) => broker.rejected(step, from, *number, Some(*delay)),
+            Reply::NoEndpoint(number) => broker.rejected(step, from, *number, None),
             Reply::NotHome(number, hint) => broker.not_home(step, from, *number, *hint),
-            Reply::Elsewhere(number, at) => broker.elsewhere(step, from, *number, *at),
+            Reply::IdentityInUse(number, at) => broker.identity_in_use(step, from, *number, *at),
             Reply::Unknown(number) => broker.unknown(step, from, *number),
-            Reply::Agreed(number) => broker.agreed(from, *number),
+            Reply::DigestMatched(number) => broker.digest_matched(from, *number),
             Reply::Resync => broker.resync(step, from),
             Reply::Claim(pool) => broker.claim(step, from, *pool),
             Reply::Loan(loan) => broker.loan(step, from, receipt, loan),
--- a/crates/core/src/permit/broker.rs
+++ b/crates/core/src/permit/broker.rs
@@ -1,6 +1,8 @@
-//! The asking side: gets places for this entry's requests and gives them back.
+//! The requesting side of the protocol: acquires permits for this entry's
+//! requests and releases them.
 //!
-//! It repeats what is not answered, so that lost messages cost time only.
+//! Everything that is not answered is retransmitted, so a lost message only
+//! costs time.
 
 use std::collections::BTreeMap;
 
@@ -8,125 +10,127 @@
 use crate::control::action::{self, Action, Refusal};
 use crate::control::event::{Ask, Done, Held};
 use crate::name::{self, Incarnation};
-use crate::permit::message::{Call, End, Grant, Profile, Run};
-use crate::permit::post::{Receipt, Urgency};
-use crate::permit::{Context, Id, Post};
+use crate::permit::message::{Call, Grant, Profile, Release, Run};
+use crate::permit::transport::{Receipt, Urgency};
+use crate::permit::{Context, NameHash, Transport};
 use crate::pool::Limits;
 
+mod failover;
 mod fallback;
 mod heartbeat;
 mod loan;
-mod movement;
 mod route;
 mod state;
 
 use fallback::Fallback;
 use loan::Loan;
 use route::Route;
-use state::{Holding, Place, Source, Unconfirmed, Wanted};
+use state::{ActivePermit, PendingRequest, Source, UnconfirmedRelease, WaitState};
 
-/// Numbers of one control branch are below this power of two, those of the next
-/// one above it; the first ones are small, and so are the messages.
+/// Permit numbers of one generation lie below this power of two, those of the
+/// next one above it. The first generation has small numbers, which keeps the
+/// messages small.
 const GENERATION_BITS: u32 = 40;
-/// The first wait before an ask is repeated: beyond the tick within which a
-/// home answers.
-const FIRST_RETRY: Millis = Millis(100);
-/// The longest wait before an ask is repeated.
-const LONGEST_RETRY: Millis = Millis(800);
-/// How old the newest message that a home has seen may be when its grant is
-/// used: less than it takes to hold an entry to be gone and free its places. An
-/// entry that was frozen finds such grants when it wakes.
-const FRESH: Millis = Millis(2_000);
-/// How long the end of a run may wait for something to go with, while nobody
-/// waits and half of the pool's slots are free.
-const UNHURRIED: Millis = Millis(500);
-/// Pools that are asked for one request, the nearest first.
-const MOST_POOLS: usize = 3;
-/// Wait before a request that could not be placed is placed again.
-const PLACE_AGAIN: Millis = Millis(100);
-/// Answers of entries that are not home, beyond which a pool counts as tried:
-/// entries agree on their members long before.
-const MOST_MISSES: u32 = 20;
+/// Initial delay before a permit request is retransmitted; longer than the tick
+/// within which a home answers.
+const INITIAL_RETRY_DELAY: Millis = Millis(100);
+/// Maximum delay before a permit request is retransmitted.
+const MAX_RETRY_DELAY: Millis = Millis(800);
+/// Maximum age of the newest message from this entry that a home had received
+/// when it sent a grant, for the grant to be used. It is below the time after
+/// which an entry is declared gone and its slots are freed. An entry that
+/// resumes after a freeze finds such outdated grants.
+const MAX_GRANT_AGE: Millis = Millis(2_000);
+/// How long the release of a permit may wait for another message to the same
+/// home, if no request is waiting and half of the pool's slots are free.
+const RELEASE_DELAY: Millis = Millis(500);
+/// Maximum number of pools that are tried for one request, the nearest first.
+const MAX_POOLS_TRIED: usize = 3;
+/// Delay before placing a request again that could not be placed.
+const PLACEMENT_RETRY_DELAY: Millis = Millis(100);
+/// Number of replies from entries that are not the home after which a pool
+/// counts as tried. Entries normally agree on the members long before that.
+const MAX_REDIRECTS: u32 = 20;
 /// How long a request waits for the first list of endpoints after a start.
-const PATIENCE: Millis = Millis(2_000);
+const STARTUP_WAIT: Millis = Millis(2_000);
 
-/// One step: what it can see, and where its results go.
+/// The inputs and outputs of one step of the protocol.
 pub struct Step<'a> {
-    /// What it can see.
+    /// The state that the step may read.
     pub context: Context<'a>,
     /// Messages to other entries.
-    pub post: &'a mut Post,
-    /// What the entry is to do.
+    pub transport: &'a mut Transport,
+    /// Actions for the entry to carry out.
     pub out: &'a mut Vec<Action>,
 }
 
-/// The asks and the permits of this entry's requests.
+/// The permit requests and permits of this entry's requests.
 #[derive(Debug)]
 pub struct Broker {
-    /// The number of the next ask.
-    next: u64,
-    wanted: BTreeMap<u64, Wanted>,
-    requests: BTreeMap<name::Request, u64>,
-    held: BTreeMap<u64, Holding>,
-    ends: BTreeMap<u64, Unconfirmed>,
-    heartbeats: BTreeMap<Incarnation, Millis>,
-    loans: BTreeMap<Id, Loan>,
-    /// The last loan of each pool that was settled; it is not taken up again.
-    settled: BTreeMap<Id, (Incarnation, u32)>,
+    /// The number of the next permit request.
+    next_permit: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    permit_by_request: BTreeMap<name::Request, u64>,
+    active: BTreeMap<u64, ActivePermit>,
+    unconfirmed_releases: BTreeMap<u64, UnconfirmedRelease>,
+    digest_due: BTreeMap<Incarnation, Millis>,
+    loans: BTreeMap<NameHash, Loan>,
+    /// The last settled loan of each pool, which a late message must not reopen.
+    settled: BTreeMap<NameHash, (Incarnation, u32)>,
     fallback: Fallback,
 }
 
 impl Broker {
-    /// Nothing is asked for yet. The generation counts the restarts of the
-    /// control branch, so that no number is drawn twice.
+    /// Creates a broker without requests. The generation counts the restarts of
+    /// the control branch and ensures that no permit number is used twice.
     pub fn new(limits: Limits, generation: u32) -> Self {
         Self {
-            next: (u64::from(generation.saturating_sub(1)) << GENERATION_BITS) + 1,
-            wanted: BTreeMap::new(),
-            requests: BTreeMap::new(),
-            held: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            heartbeats: BTreeMap::new(),
+            next_permit: (u64::from(generation.saturating_sub(1)) << GENERATION_BITS) + 1,
+            pending: BTreeMap::new(),
+            permit_by_request: BTreeMap::new(),
+            active: BTreeMap::new(),
+            unconfirmed_releases: BTreeMap::new(),
+            digest_due: BTreeMap::new(),
             loans: BTreeMap::new(),
             settled: BTreeMap::new(),
             fallback: Fallback::new(limits),
         }
     }
 
-    /// Requests that wait for a place.
-    pub fn waiting(&self) -> usize {
-        self.wanted.len()
+    /// Returns the number of requests that are waiting for a permit.
+    pub fn pending_requests(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Permits in use.
-    pub fn holding(&self) -> usize {
-        self.held.len()
+    /// Returns the number of permits in use.
+    pub fn active_permits(&self) -> usize {
+        self.active.len()
     }
 
-    /// Permits of this entry at an endpoint.
+    /// Returns the number of this entry's permits at an endpoint.
     pub fn in_flight(&self, endpoint: &name::Endpoint) -> u32 {
-        let id = Id::of_endpoint(endpoint);
-        let here = self.held.values().filter(|holding| holding.endpoint == id);
+        let id = NameHash::of_endpoint(endpoint);
+        let here = self.active.values().filter(|active| active.endpoint == id);
         u32::try_from(here.count()).unwrap_or(u32::MAX)
     }
 
-    /// A local request asks for a place.
-    pub fn ask(&mut self, step: &mut Step, ask: Ask) {
+    /// Requests a permit for a local request, or takes a slot from a loan.
+    pub fn acquire(&mut self, step: &mut Step, ask: Ask) {
         self.withdraw(step, ask.request);
-        let wanted = Wanted {
+        let pending = PendingRequest {
             ask,
             since: step.context.now,
-            tried: Vec::new(),
+            tried_pools: Vec::new(),
             shed: None,
-            misses: 0,
-            place: Place::Unplaced(step.context.now),
+            redirects: 0,
+            wait: WaitState::Unplaced(step.context.now),
         };
-        if !self.grant_from_loan(step, &wanted.ask) {
-            self.place(step, wanted);
+        if !self.grant_from_loan(step, &pending.ask) {
+            self.place(step, pending);
         }
     }
 
-    /// Takes in the permits that are older than the control branch.
+    /// Restores the permits that were granted before the control branch started.
     pub fn restore(&mut self, step: &mut Step, held: Vec<Held>) {
         for held in held {
             let Some(endpoint) = step.context.directory.get(&held.endpoint) else {
@@ -136,34 +140,34 @@
                 target: held.ask.target.clone(),
                 data_centre: endpoint.data_centre.clone(),
             };
-            let holding = Holding {
+            let active = ActivePermit {
                 request: held.ask.request,
-                pool: Id::of_pool(&pool),
-                endpoint: Id::of_endpoint(&held.endpoint),
+                pool: NameHash::of_pool(&pool),
+                endpoint: NameHash::of_endpoint(&held.endpoint),
                 profile: profile(&held.ask),
                 identity: held.ask.identity,
                 contended: false,
                 source: Source::Unknown,
             };
-            self.requests.insert(held.ask.request, held.permit);
-            self.held.insert(held.permit, holding);
+            self.permit_by_request.insert(held.ask.request, held.permit);
+            self.active.insert(held.permit, active);
         }
-        self.update(step);
+        self.topology_changed(step);
     }
 
-    /// A local request no longer wants a place, nor the one that it may have
-    /// been granted meanwhile.
+    /// Withdraws a local request, along with any permit that it was granted in
+    /// the meantime.
     pub fn withdraw(&mut self, step: &mut Step, request: name::Request) {
-        let Some(number) = self.requests.remove(&request) else {
+        let Some(number) = self.permit_by_request.remove(&request) else {
             return;
         };
-        if let Some(wanted) = self.wanted.remove(&number) {
-            self.leave(step, number, wanted.place);
+        if let Some(pending) = self.pending.remove(&number) {
+            self.leave(step, number, pending.wait);
         }
-        self.release(step, number, Run::NONE);
+        self.release(step, number, Run::UNUSED);
     }
 
-    /// A granted request ended.
+    /// Releases the permit of a request that has ended.
     pub fn done(&mut self, step: &mut Step, done: &Done) {
         let result = Run {
             outcome: done.outcome,
@@ -174,68 +178,70 @@
         self.release(step, done.permit, result);
     }
 
-    /// Gives a permit back to whoever counts it.
+    /// Returns a permit to the home, loan or local pool that counts it.
     fn release(&mut self, step: &mut Step, number: u64, result: Run) {
-        let Some(holding) = self.held.remove(&number) else {
+        let Some(active) = self.active.remove(&number) else {
             return;
         };
-        if self.requests.get(&holding.request) == Some(&number) {
-            self.requests.remove(&holding.request);
+        if self.permit_by_request.get(&active.request) == Some(&number) {
+            self.permit_by_request.remove(&active.request);
         }
-        match holding.source {
+        match active.source {
             Source::Unknown => {}
             Source::Home(home) => {
-                let urgent = holding.contended || self.waits_for(holding.pool);
+                let urgent = active.contended || self.has_pending(active.pool);
                 let urgency = if urgent {
                     Urgency::Now
                 } else {
-                    Urgency::By(step.context.now + UNHURRIED)
+                    Urgency::By(step.context.now + RELEASE_DELAY)
                 };
-                self.give_back(step, home, number, result, urgency);
+                self.send_release(step, home, number, result, urgency);
             }
-            Source::Loan => self.end_loan_run(&holding, result),
-            Source::Alone(permit) => {
-                let decisions = self.fallback.done(step, holding.pool, permit, result);
-                self.carry_out_alone(step, holding.pool, decisions);
+            Source::Loan => self.end_loan_run(&active, result),
+            Source::Local(permit) => {
+                let decisions = self.fallback.done(step, active.pool, permit, result);
+                self.apply_fallback_decisions(step, active.pool, decisions);
             }
         }
     }
 
-    /// A home granted a place.
+    /// Handles a grant from a home.
     pub fn grant(&mut self, step: &mut Step, from: Incarnation, receipt: Receipt, grant: &Grant) {
         let number = grant.permit;
-        let Some(pool) = self.asked(number, from) else {
-            if !self.held.contains_key(&number) {
-                // Not waited for any more, or by another home's answer.
-                self.give_back(step, from, number, Run::NONE, Urgency::Now);
+        let Some(pool) = self.pending_pool(number, from) else {
+            if !self.active.contains_key(&number) {
+                // The request was withdrawn, or was answered by another home.
+                self.send_release(step, from, number, Run::UNUSED, Urgency::Now);
             }
             return;
         };
-        let Some(wanted) = self.take(number) else {
+        let Some(pending) = self.take_pending(number) else {
             return;
         };
-        if !receipt.fresh(step.context.now, FRESH) || address(step, grant.endpoint).is_none() {
-            self.give_back(step, from, number, Run::NONE, Urgency::Now);
-            self.keep_unplaced(step, wanted);
+        if !receipt.acked_within(step.context.now, MAX_GRANT_AGE)
+            || address(step, grant.endpoint).is_none()
+        {
+            self.send_release(step, from, number, Run::UNUSED, Urgency::Now);
+            self.keep_unplaced(step, pending);
             return;
         }
-        self.hold(step, number, &wanted.ask, pool, grant, Source::Home(from));
+        self.hold(step, number, &pending.ask, pool, grant, Source::Home(from));
     }
 
-    /// Keeps a permit and hands it to its request.
+    /// Records a permit and hands it to its request.
     fn hold(
         &mut self,
         step: &mut Step,
         number: u64,
         ask: &Ask,
-        pool: Id,
+        pool: NameHash,
         grant: &Grant,
         source: Source,
     ) {
         let Some((endpoint, address)) = address(step, grant.endpoint) else {
             return;
         };
-        let holding = Holding {
+        let active = ActivePermit {
             request: ask.request,
             pool,
             endpoint: grant.endpoint,
@@ -244,129 +250,144 @@
             contended: grant.contended,
             source,
         };
-        self.requests.insert(ask.request, number);
-        self.held.insert(number, holding);
+        self.permit_by_request.insert(ask.request, number);
+        self.active.insert(number, active);
         step.out.push(Action::Grant(action::Grant {
             request: ask.request,
             permit: number,
             endpoint,
             address,
             priority: grant.priority,
-            degraded: matches!(source, Source::Alone(_)),
+            degraded: matches!(source, Source::Local(_)),
         }));
     }
 
-    /// A home keeps an ask.
+    /// Handles the confirmation that a home has queued a request.
     pub fn queued(&mut self, from: Incarnation, number: u64) {
-        if self.asked(number, from).is_some()
-            && let Some(Wanted {
-                place: Place::Asked { queued, .. },
+        if self.pending_pool(number, from).is_some()
+            && let Some(PendingRequest {
+                wait: WaitState::AtHome { queued, .. },
                 ..
-            }) = self.wanted.get_mut(&number)
+            }) = self.pending.get_mut(&number)
         {
             *queued = true;
         }
     }
 
-    /// A pool has no place for an ask: the next one is tried.
-    pub fn turned_down(
+    /// Handles a rejection by one pool by trying the next one.
+    pub fn rejected(
         &mut self,
         step: &mut Step,
         from: Incarnation,
         number: u64,
         shed: Option<Millis>,
     ) {
-        let Some(pool) = self.asked(number, from) else {
+        let Some(pool) = self.pending_pool(number, from) else {
             return;
         };
-        let Some(mut wanted) = self.take(number) else {
+        let Some(mut pending) = self.take_pending(number) else {
             return;
         };
-        wanted.tried.push(pool);
-        wanted.shed = wanted.shed.max(shed);
-        self.place(step, wanted);
+        pending.tried_pools.push(pool);
+        pending.shed = pending.shed.max(shed);
+        self.place(step, pending);
     }
 
-    /// Another request of the same identity waits or runs elsewhere.
-    pub fn elsewhere(&mut self, step: &mut Step, from: Incarnation, number: u64, at: Incarnation) {
-        if self.asked(number, from).is_none() {
+    /// Handles the reply that another request with the same identity is waiting
+    /// or running at another entry.
+    pub fn identity_in_use(
+        &mut self,
+        step: &mut Step,
+        from: Incarnation,
+        number: u64,
+        at: Incarnation,
+    ) {
+        if self.pending_pool(number, from).is_none() {
             return;
         }
-        if let Some(wanted) = self.take(number) {
-            step.out.push(Action::Elsewhere(wanted.ask.request, at));
+        if let Some(pending) = self.take_pending(number) {
+            step.out.push(Action::Elsewhere(pending.ask.request, at));
         }
     }
 
-    /// Finds a place to wait for a request, or refuses it.
-    fn place(&mut self, step: &mut Step, mut wanted: Wanted) {
-        match route::choose(step, &wanted) {
-            Route::Home(pool, home) => self.ask_home(step, wanted, pool, home),
-            Route::Alone(pool) => {
-                wanted.place = Place::Alone(pool);
-                let ask = wanted.ask.clone();
-                let number = self.keep(wanted);
-                self.ask_alone(step, pool, number, ask);
+    /// Chooses where a request waits for a permit, or refuses it.
+    fn place(&mut self, step: &mut Step, mut pending: PendingRequest) {
+        match route::choose(step, &pending) {
+            Route::Home(pool, home) => self.acquire_at(step, pending, pool, home),
+            Route::Local(pool) => {
+                pending.wait = WaitState::Local(pool);
+                let ask = pending.ask.clone();
+                let number = self.insert_pending(pending);
+                self.acquire_locally(step, pool, number, ask);
             }
-            Route::Wait => self.keep_unplaced(step, wanted),
+            Route::Wait => self.keep_unplaced(step, pending),
             Route::Refuse => {
-                let refusal = wanted.shed.map_or(Refusal::NoEndpoint, Refusal::Overloaded);
-                step.out.push(Action::Refuse(wanted.ask.request, refusal));
+                let refusal = pending
+                    .shed
+                    .map_or(Refusal::NoEndpoint, Refusal::Overloaded);
+                step.out.push(Action::Refuse(pending.ask.request, refusal));
             }
         }
     }
 
-    fn ask_home(&mut self, step: &mut Step, mut wanted: Wanted, pool: Id, home: Incarnation) {
-        wanted.place = Place::Asked {
+    fn acquire_at(
+        &mut self,
+        step: &mut Step,
+        mut pending: PendingRequest,
+        pool: NameHash,
+        home: Incarnation,
+    ) {
+        pending.wait = WaitState::AtHome {
             home,
             pool,
             queued: false,
-            again: step.context.now + FIRST_RETRY,
-            backoff: FIRST_RETRY,
+            retry_at: step.context.now + INITIAL_RETRY_DELAY,
+            backoff: INITIAL_RETRY_DELAY,
         };
-        let number = self.keep(wanted);
-        self.send_ask(step, number);
+        let number = self.insert_pending(pending);
+        self.send_acquire(step, number);
     }
 
-    fn keep_unplaced(&mut self, step: &Step, mut wanted: Wanted) {
-        wanted.place = Place::Unplaced(step.context.now + PLACE_AGAIN);
-        self.keep(wanted);
+    fn keep_unplaced(&mut self, step: &Step, mut pending: PendingRequest) {
+        pending.wait = WaitState::Unplaced(step.context.now + PLACEMENT_RETRY_DELAY);
+        self.insert_pending(pending);
     }
 
-    /// Keeps a request under a new number.
-    fn keep(&mut self, wanted: Wanted) -> u64 {
-        let number = self.draw();
-        self.requests.insert(wanted.ask.request, number);
-        self.wanted.insert(number, wanted);
+    /// Stores a request under a new permit number.
+    fn insert_pending(&mut self, pending: PendingRequest) -> u64 {
+        let number = self.next_permit_number();
+        self.permit_by_request.insert(pending.ask.request, number);
+        self.pending.insert(number, pending);
         number
     }
 
-    fn draw(&mut self) -> u64 {
-        let number = self.next;
-        self.next += 1;
+    fn next_permit_number(&mut self) -> u64 {
+        let number = self.next_permit;
+        self.next_permit += 1;
         number
     }
 
-    fn take(&mut self, number: u64) -> Option<Wanted> {
-        let wanted = self.wanted.remove(&number)?;
-        self.requests.remove(&wanted.ask.request);
-        Some(wanted)
+    fn take_pending(&mut self, number: u64) -> Option<PendingRequest> {
+        let pending = self.pending.remove(&number)?;
+        self.permit_by_request.remove(&pending.ask.request);
+        Some(pending)
     }
 
-    /// The pool at whose home an ask waits, if it is that home.
-    fn asked(&self, number: u64, from: Incarnation) -> Option<Id> {
-        match self.wanted.get(&number)?.place {
-            Place::Asked { home, pool, .. } if home == from => Some(pool),
+    /// Returns the pool for which a request waits, if it waits at this home.
+    fn pending_pool(&self, number: u64, from: Incarnation) -> Option<NameHash> {
+        match self.pending.get(&number)?.wait {
+            WaitState::AtHome { home, pool, .. } if home == from => Some(pool),
             _ => None,
         }
     }
 
-    fn waits_for(&self, id: Id) -> bool {
-        let at = |wanted: &Wanted| matches!(wanted.place, Place::Asked { pool, .. } if pool == id);
-        self.wanted.values().any(at)
+    fn has_pending(&self, id: NameHash) -> bool {
+        let at = |pending: &PendingRequest| matches!(pending.wait, WaitState::AtHome { pool, .. } if pool == id);
+        self.pending.values().any(at)
     }
 
-    /// Tells a home of the end of an ask or a permit.
-    fn give_back(
+    /// Reports to a home that a request or a permit has ended.
+    fn send_release(
         &mut self,
         step: &mut Step,
         home: Incarnation,
@@ -374,34 +395,36 @@
         result: Run,
         urgency: Urgency,
     ) {
-        if !step.context.alive(home) {
+        if !step.context.is_alive(home) {
             return;
         }
-        let end = Call::End(End { permit, result });
-        let sent = step.post.call(step.context.now, home, urgency, end);
-        if home != step.post.own() {
-            let unconfirmed = Unconfirmed { home, result, sent };
-            self.ends.insert(permit, unconfirmed);
+        let release = Call::Release(Release { permit, result });
+        let sent = step
+            .transport
+            .send_call(step.context.now, home, urgency, release);
+        if home != step.transport.own() {
+            let unconfirmed = UnconfirmedRelease { home, result, sent };
+            self.unconfirmed_releases.insert(permit, unconfirmed);
         }
     }
 
-    /// Takes an ask back from where it waits.
-    fn leave(&mut self, step: &mut Step, number: u64, place: Place) {
-        match place {
-            Place::Unplaced(_) => {}
-            Place::Asked { home, .. } => {
-                self.give_back(step, home, number, Run::NONE, Urgency::Now);
+    /// Withdraws a request from where it is waiting.
+    fn leave(&mut self, step: &mut Step, number: u64, wait: WaitState) {
+        match wait {
+            WaitState::Unplaced(_) => {}
+            WaitState::AtHome { home, .. } => {
+                self.send_release(step, home, number, Run::UNUSED, Urgency::Now);
             }
-            Place::Alone(pool) => {
+            WaitState::Local(pool) => {
                 let decisions = self.fallback.withdraw(step, pool, number);
-                self.carry_out_alone(step, pool, decisions);
+                self.apply_fallback_decisions(step, pool, decisions);
             }
         }
     }
 }
 
-/// Name and address of an endpoint, if the directory has it.
-fn address(step: &Step, id: Id) -> Option<(name::Endpoint, std::net::SocketAddr)> {
+/// Returns the name and address of an endpoint, if it is in the directory.
+fn address(step: &Step, id: NameHash) -> Option<(name::Endpoint, std::net::SocketAddr)> {
     let name = step.context.topology.endpoint(id)?;
     let endpoint = step.context.directory.get(name)?;
     Some((endpoint.name.clone(), endpoint.address))
--- a/crates/core/src/permit/broker/fallback.rs
+++ b/crates/core/src/permit/broker/fallback.rs
@@ -1,5 +1,5 @@
-//! Serving alone while a pool's home is unreachable: the entry's own fraction
-//! of the slots, under the same rules.
+//! Local fallback while a pool's home is unreachable: this entry uses its own
+//! share of the slots, scheduled by the same rules as at a home.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,39 @@
 use crate::control::event::Ask;
 use crate::name::{self, Incarnation};
 use crate::permit::message::{Grant, Run};
-use crate::permit::{Context, Id};
+use crate::permit::{Context, NameHash};
 use crate::pool::{Decision, Limits, Pool, Waiter};
 
 use super::{Broker, Source, Step};
 
-/// The pools of which this entry serves its fraction.
+/// The pools for which this entry uses its own share of the slots.
 #[derive(Debug)]
 pub struct Fallback {
     limits: Limits,
-    pools: BTreeMap<Id, Pool>,
-    drawn: u32,
+    pools: BTreeMap<NameHash, Pool>,
+    seeds_drawn: u32,
 }
 
-/// What this entry holds at each endpoint by leave of a home.
-pub type Counts = BTreeMap<Id, u32>;
+/// Number of permits that this entry holds at each endpoint outside its own
+/// share.
+pub type Counts = BTreeMap<NameHash, u32>;
 
 impl Fallback {
-    /// Nothing is served alone.
+    /// Creates a fallback without pools.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             pools: BTreeMap::new(),
-            drawn: 0,
+            seeds_drawn: 0,
         }
     }
 
-    /// The pools that are served alone now.
-    pub fn pools(&self) -> Vec<Id> {
+    /// Returns the pools in local fallback.
+    pub fn pools(&self) -> Vec<NameHash> {
         self.pools.keys().copied().collect()
     }
 
-    /// Forgets pools in which nothing waits or runs.
+    /// Removes pools without waiting or running requests.
     pub fn drop_idle(&mut self) {
         let busy = |pool: &Pool| {
             let stats = pool.stats();
@@ -47,7 +48,13 @@
         self.pools.retain(|_, pool| busy(pool));
     }
 
-    fn ask(&mut self, context: &Context, id: Id, waiter: Waiter, counts: &Counts) -> Vec<Decision> {
+    fn acquire(
+        &mut self,
+        context: &Context,
+        id: NameHash,
+        waiter: Waiter,
+        counts: &Counts,
+    ) -> Vec<Decision> {
         let mut decisions = self.refresh(context, id, counts);
         if let Some(pool) = self.pools.get_mut(&id) {
             pool.ask(context.now, waiter, &mut decisions);
@@ -55,18 +62,19 @@
         decisions
     }
 
-    /// Takes in how the slots and the members stand now.
-    fn refresh(&mut self, context: &Context, id: Id, counts: &Counts) -> Vec<Decision> {
-        self.drawn += 1;
-        let (limits, seed) = (&self.limits, u64::from(self.drawn));
+    /// Updates the endpoints of a pool, and with them this entry's share of the
+    /// slots.
+    fn refresh(&mut self, context: &Context, id: NameHash, counts: &Counts) -> Vec<Decision> {
+        self.seeds_drawn += 1;
+        let (limits, seed) = (&self.limits, u64::from(self.seeds_drawn));
         let pool = self
             .pools
             .entry(id)
             .or_insert_with(|| Pool::new(limits.clone(), seed));
         let own: Vec<Endpoint> = context
             .topology
-            .usable(id, context.directory)
-            .map(|endpoint| fraction(context, endpoint, counts))
+            .usable_endpoints(id, context.directory)
+            .map(|endpoint| local_share(context, endpoint, counts))
             .collect();
         let mut decisions = Vec::new();
         let own: Vec<&Endpoint> = own.iter().collect();
@@ -75,19 +83,19 @@
         decisions
     }
 
-    /// A run ended.
-    pub fn done(&mut self, step: &Step, id: Id, permit: u64, run: Run) -> Vec<Decision> {
+    /// Releases the slot of a run that has ended.
+    pub fn done(&mut self, step: &Step, id: NameHash, permit: u64, run: Run) -> Vec<Decision> {
         let mut decisions = Vec::new();
         if let Some(pool) = self.pools.get_mut(&id) {
-            let done = run.done(request(step.post.own(), 0), permit);
+            let done = run.done(request_name(step.transport.own(), 0), permit);
             pool.done(step.context.now, &done, &mut decisions);
         }
         decisions
     }
 
-    /// A request no longer waits here, nor is counted here.
-    pub fn withdraw(&mut self, step: &Step, id: Id, number: u64) -> Vec<Decision> {
-        let request = request(step.post.own(), number);
+    /// Removes a request or a run from the pool.
+    pub fn withdraw(&mut self, step: &Step, id: NameHash, number: u64) -> Vec<Decision> {
+        let request = request_name(step.transport.own(), number);
         let mut decisions = Vec::new();
         if let Some(pool) = self.pools.get_mut(&id) {
             pool.withdraw(step.context.now, request, &mut decisions);
@@ -97,28 +105,39 @@
 }
 
 impl Broker {
-    /// Has a request wait for the own fraction of a pool.
-    pub(super) fn ask_alone(&mut self, step: &mut Step, pool: Id, number: u64, mut ask: Ask) {
-        let holder = step.post.own();
-        ask.request = request(holder, number);
-        let counts = self.counts(pool);
+    /// Queues a request for this entry's own share of a pool.
+    pub(super) fn acquire_locally(
+        &mut self,
+        step: &mut Step,
+        pool: NameHash,
+        number: u64,
+        mut ask: Ask,
+    ) {
+        let holder = step.transport.own();
+        ask.request = request_name(holder, number);
+        let counts = self.held_counts(pool);
         let waiter = Waiter { ask, holder };
-        let decisions = self.fallback.ask(&step.context, pool, waiter, &counts);
-        self.carry_out_alone(step, pool, decisions);
+        let decisions = self.fallback.acquire(&step.context, pool, waiter, &counts);
+        self.apply_fallback_decisions(step, pool, decisions);
     }
 
-    /// Goes on with the pools that are served alone.
-    pub(super) fn tick_alone(&mut self, step: &mut Step) {
+    /// Updates the pools in local fallback and drops the idle ones.
+    pub(super) fn tick_fallback(&mut self, step: &mut Step) {
         for pool in self.fallback.pools() {
-            let counts = self.counts(pool);
+            let counts = self.held_counts(pool);
             let decisions = self.fallback.refresh(&step.context, pool, &counts);
-            self.carry_out_alone(step, pool, decisions);
+            self.apply_fallback_decisions(step, pool, decisions);
         }
         self.fallback.drop_idle();
     }
 
-    /// Passes on what the pool of the own fraction decided.
-    pub(super) fn carry_out_alone(&mut self, step: &mut Step, pool: Id, decisions: Vec<Decision>) {
+    /// Carries out the decisions of a pool in local fallback.
+    pub(super) fn apply_fallback_decisions(
+        &mut self,
+        step: &mut Step,
+        pool: NameHash,
+        decisions: Vec<Decision>,
+    ) {
         for decision in decisions {
             match decision {
                 Decision::Grant {
@@ -128,70 +147,72 @@
                     priority,
                     ..
                 } => {
-                    let Some(wanted) = self.take(request.sequence) else {
+                    let Some(pending) = self.take_pending(request.sequence) else {
                         continue;
                     };
                     let grant = Grant {
                         permit: request.sequence,
-                        endpoint: Id::of_endpoint(&endpoint),
+                        endpoint: NameHash::of_endpoint(&endpoint),
                         priority,
                         contended: true,
                     };
-                    let source = Source::Alone(permit);
-                    self.hold(step, request.sequence, &wanted.ask, pool, &grant, source);
+                    let source = Source::Local(permit);
+                    self.hold(step, request.sequence, &pending.ask, pool, &grant, source);
                 }
                 Decision::Shed {
                     request,
                     retry_after,
                     ..
-                } => self.turned_down_alone(step, pool, request.sequence, Some(retry_after)),
+                } => self.reject_locally(step, pool, request.sequence, Some(retry_after)),
                 Decision::NoEndpoint { request, .. } => {
-                    self.turned_down_alone(step, pool, request.sequence, None);
+                    self.reject_locally(step, pool, request.sequence, None);
                 }
             }
         }
     }
 
-    fn turned_down_alone(
+    fn reject_locally(
         &mut self,
         step: &mut Step,
-        pool: Id,
+        pool: NameHash,
         number: u64,
         shed: Option<crate::clock::Millis>,
     ) {
-        let Some(mut wanted) = self.take(number) else {
+        let Some(mut pending) = self.take_pending(number) else {
             return;
         };
-        wanted.tried.push(pool);
-        wanted.shed = wanted.shed.max(shed);
-        self.place(step, wanted);
+        pending.tried_pools.push(pool);
+        pending.shed = pending.shed.max(shed);
+        self.place(step, pending);
     }
 
-    /// What this entry holds of a pool at each endpoint, but for its own fraction.
-    fn counts(&self, pool: Id) -> Counts {
+    /// Counts the permits that this entry holds at each endpoint of a pool,
+    /// apart from those of the local fallback.
+    fn held_counts(&self, pool: NameHash) -> Counts {
         let mut counts = Counts::new();
-        for holding in self.held.values().filter(|holding| holding.pool == pool) {
-            if !matches!(holding.source, Source::Alone(_)) {
-                *counts.entry(holding.endpoint).or_default() += 1;
+        for active in self.active.values().filter(|active| active.pool == pool) {
+            if !matches!(active.source, Source::Local(_)) {
+                *counts.entry(active.endpoint).or_default() += 1;
             }
         }
         counts
     }
 }
 
-fn request(own: Incarnation, number: u64) -> name::Request {
+fn request_name(own: Incarnation, number: u64) -> name::Request {
     name::Request {
         incarnation: own,
         sequence: number,
     }
 }
 
-/// An endpoint with the slots that this entry may use alone: its fraction, less
-/// what it holds there already.
+/// Returns an endpoint whose slots are reduced to this entry's share, less the
+/// permits that it already holds there.
 ///
-/// The fractions of entries that see the same members add up to the slots; the
-/// remainders go round, so that few slots among many entries are used as well.
-fn fraction(context: &Context, endpoint: &Endpoint, counts: &Counts) -> Endpoint {
+/// The shares of entries with the same view of the members add up to the slots.
+/// The remainder goes to different entries for different endpoints, so that a
+/// small number of slots is used even among many entries.
+fn local_share(context: &Context, endpoint: &Endpoint, counts: &Counts) -> Endpoint {
     let mut names: Vec<&name::Entry> = context
         .members
         .active()
@@ -201,9 +222,9 @@
     let entries = u32::try_from(names.len()).unwrap_or(u32::MAX).max(1);
     let own = &context.members.own().name;
     let rank = names.iter().position(|name| *name == own).unwrap_or(0);
-    let id = Id::of_endpoint(&endpoint.name);
-    let turn = (u32::try_from(rank).unwrap_or(0) + id.spread()) % entries;
-    let share = endpoint.slots / entries + u32::from(turn < endpoint.slots % entries);
+    let id = NameHash::of_endpoint(&endpoint.name);
+    let position = (u32::try_from(rank).unwrap_or(0) + id.rotation_offset()) % entries;
+    let share = endpoint.slots / entries + u32::from(position < endpoint.slots % entries);
     let mut own = endpoint.clone();
     own.slots = share.saturating_sub(counts.get(&id).copied().unwrap_or(0));
     own
--- a/crates/core/src/permit/broker/heartbeat.rs
+++ b/crates/core/src/permit/broker/heartbeat.rs
@@ -1,83 +1,84 @@
-//! Repeating what was not answered, and comparing notes with each home.
+//! Retransmits unanswered messages and periodically compares state with each
+//! home.
 
 use std::collections::BTreeMap;
 
 use crate::clock::Millis;
 use crate::control::event::Ask;
 use crate::name::Incarnation;
-use crate::permit::message::{self, Call, Digest, End, Held, Sync};
-use crate::permit::post::Urgency;
-use crate::permit::{Context, Id};
+use crate::permit::message::{self, Call, Digest, HeldPermit, Release, Sync};
+use crate::permit::transport::Urgency;
+use crate::permit::{Context, NameHash};
 
-use super::{Broker, Holding, LONGEST_RETRY, Place, Source, Step, profile};
+use super::{ActivePermit, Broker, MAX_RETRY_DELAY, Source, Step, WaitState, profile};
 
-/// How often notes are compared with a home. The longest time for which a lost
-/// message can keep a slot idle, or a grant from its request, is about this.
-const HEARTBEAT: Millis = Millis(1_000);
-/// How much longer a digest may wait for an ask to go with, while only permits
-/// are held.
-const PATIENCE: Millis = Millis(1_000);
-/// Items in one [`Sync`], so that it fits in one datagram.
-pub(super) const CHUNK: usize = 10;
+/// Interval at which a digest is sent to each home. A lost message can keep a
+/// slot idle, or a grant from its request, for about this long.
+const DIGEST_INTERVAL: Millis = Millis(1_000);
+/// Additional time that a digest may wait to be sent along with a permit
+/// request, while this entry only holds permits at that home.
+const DIGEST_DELAY: Millis = Millis(1_000);
+/// Maximum number of items in one [`Sync`], so that it fits into one datagram.
+pub(super) const MAX_SYNC_ITEMS: usize = 10;
 
 impl Broker {
-    /// Time has passed.
+    /// Runs the periodic work of the broker.
     pub fn tick(&mut self, step: &mut Step) {
-        self.repeat_asks(step);
-        self.place_again(step);
+        self.retry_requests(step);
+        self.retry_placement(step);
         self.tick_loans(step);
-        self.tick_alone(step);
-        self.beat(step);
+        self.tick_fallback(step);
+        self.send_due_digests(step);
     }
 
-    fn repeat_asks(&mut self, step: &mut Step) {
+    fn retry_requests(&mut self, step: &mut Step) {
         let now = step.context.now;
         let mut due = Vec::new();
-        for (number, wanted) in &mut self.wanted {
-            if let Place::Asked {
+        for (number, pending) in &mut self.pending {
+            if let WaitState::AtHome {
                 queued: false,
-                again,
+                retry_at,
                 backoff,
                 ..
-            } = &mut wanted.place
-                && now >= *again
+            } = &mut pending.wait
+                && now >= *retry_at
             {
-                *backoff = LONGEST_RETRY.min(*backoff + *backoff);
-                *again = now + *backoff;
+                *backoff = MAX_RETRY_DELAY.min(*backoff + *backoff);
+                *retry_at = now + *backoff;
                 due.push(*number);
             }
         }
         for number in due {
-            self.send_ask(step, number);
+            self.send_acquire(step, number);
         }
     }
 
-    fn place_again(&mut self, step: &mut Step) {
+    fn retry_placement(&mut self, step: &mut Step) {
         let now = step.context.now;
-        let due = self
-            .wanted
-            .iter()
-            .filter(|(_, wanted)| matches!(wanted.place, Place::Unplaced(again) if now >= again));
+        let due = self.pending.iter().filter(
+            |(_, pending)| matches!(pending.wait, WaitState::Unplaced(retry_at) if now >= retry_at),
+        );
         let due: Vec<u64> = due.map(|(number, _)| *number).collect();
         for number in due {
-            if let Some(wanted) = self.take(number) {
-                self.place(step, wanted);
+            if let Some(pending) = self.take_pending(number) {
+                self.place(step, pending);
             }
         }
     }
 
-    /// Sends an ask, for the first time or again.
-    pub(super) fn send_ask(&mut self, step: &mut Step, number: u64) {
-        let Some(wanted) = self.wanted.get(&number) else {
+    /// Sends a permit request to its home, for the first time or again.
+    pub(super) fn send_acquire(&mut self, step: &mut Step, number: u64) {
+        let Some(pending) = self.pending.get(&number) else {
             return;
         };
-        let Place::Asked { home, pool, .. } = wanted.place else {
+        let WaitState::AtHome { home, pool, .. } = pending.wait else {
             return;
         };
-        let call = Call::Ask(pack(&step.context, number, pool, &wanted.ask));
-        step.post.call(step.context.now, home, Urgency::Now, call);
+        let call = Call::Acquire(to_acquire(&step.context, number, pool, &pending.ask));
+        step.transport
+            .send_call(step.context.now, home, Urgency::Now, call);
         if self
-            .heartbeats
+            .digest_due
             .get(&home)
             .is_some_and(|due| step.context.now >= *due)
         {
@@ -85,26 +86,26 @@
         }
     }
 
-    /// The home does not know an ask that it said it keeps.
+    /// Handles the reply that a home does not know a request that it had queued.
     pub fn unknown(&mut self, step: &mut Step, from: Incarnation, number: u64) {
-        if self.asked(number, from).is_none() {
+        if self.pending_pool(number, from).is_none() {
             return;
         }
-        if let Some(wanted) = self.wanted.get_mut(&number)
-            && let Place::Asked { queued, .. } = &mut wanted.place
+        if let Some(pending) = self.pending.get_mut(&number)
+            && let WaitState::AtHome { queued, .. } = &mut pending.wait
         {
             *queued = false;
         }
-        self.send_ask(step, number);
+        self.send_acquire(step, number);
     }
 
-    fn beat(&mut self, step: &mut Step) {
+    fn send_due_digests(&mut self, step: &mut Step) {
         let now = step.context.now;
-        let peers = self.peers(step);
-        self.heartbeats.retain(|peer, _| peers.contains_key(peer));
+        let peers = self.digest_peers(step);
+        self.digest_due.retain(|peer, _| peers.contains_key(peer));
         for (peer, urgent) in peers {
-            let due = *self.heartbeats.entry(peer).or_insert(now + HEARTBEAT);
-            let due = if urgent { due } else { due + PATIENCE };
+            let due = *self.digest_due.entry(peer).or_insert(now + DIGEST_INTERVAL);
+            let due = if urgent { due } else { due + DIGEST_DELAY };
             if now >= due {
                 self.send_digest(step, peer);
             }
@@ -113,34 +114,38 @@
 
     fn send_digest(&mut self, step: &mut Step, peer: Incarnation) {
         let now = step.context.now;
-        self.heartbeats.insert(peer, now + HEARTBEAT);
+        self.digest_due.insert(peer, now + DIGEST_INTERVAL);
         let digest = Call::Digest(self.digest(peer));
-        step.post.call(now, peer, Urgency::Now, digest);
+        step.transport.send_call(now, peer, Urgency::Now, digest);
     }
 
-    /// The homes with which notes are to be compared, and whether at once when
-    /// it is time: asks wait there, or it is silent and has to answer something.
-    fn peers(&self, step: &Step) -> BTreeMap<Incarnation, bool> {
-        let asked = self
-            .wanted
+    /// Returns the homes to which digests are sent, and whether each digest is
+    /// sent as soon as it is due: that is the case if requests wait there, or if
+    /// the home is unresponsive and must be probed.
+    fn digest_peers(&self, step: &Step) -> BTreeMap<Incarnation, bool> {
+        let requested = self
+            .pending
             .values()
-            .filter_map(|wanted| match wanted.place {
-                Place::Asked { home, .. } => Some((home, true)),
+            .filter_map(|pending| match pending.wait {
+                WaitState::AtHome { home, .. } => Some((home, true)),
                 _ => None,
             });
         let held = self
-            .held
+            .active
             .values()
-            .filter_map(|holding| match holding.source {
+            .filter_map(|active| match active.source {
                 Source::Home(home) => Some((home, false)),
                 _ => None,
             });
-        let ended = self.ends.values().map(|end| (end.home, false));
+        let ended = self
+            .unconfirmed_releases
+            .values()
+            .map(|release| (release.home, false));
         let members = step.context.members.active();
-        let silent = members.map(|member| (member.incarnation, true));
-        let silent = silent.filter(|(entry, _)| step.post.silent(*entry));
+        let unresponsive = members.map(|member| (member.incarnation, true));
+        let unresponsive = unresponsive.filter(|(entry, _)| step.transport.is_unresponsive(*entry));
         let mut peers = BTreeMap::new();
-        for (peer, urgent) in held.chain(ended).chain(asked).chain(silent) {
+        for (peer, urgent) in held.chain(ended).chain(requested).chain(unresponsive) {
             *peers.entry(peer).or_default() |= urgent;
         }
         peers
@@ -148,47 +153,54 @@
 
     fn digest(&self, peer: Incarnation) -> Digest {
         let mut digest = Digest::default();
-        for (number, queued) in self.asked_of(peer, None) {
+        for (number, queued) in self.pending_at(peer, None) {
             if queued {
                 digest.add(number, false);
             }
         }
-        for (number, _) in self.held_of(peer, None) {
+        for (number, _) in self.permits_from(peer, None) {
             digest.add(number, true);
         }
         digest
     }
 
-    /// The home has all that was sent up to a message.
-    pub fn agreed(&mut self, from: Incarnation, number: u32) {
-        self.ends
-            .retain(|_, end| end.home != from || end.sent > number);
+    /// Handles the confirmation that a home has received everything up to a
+    /// message.
+    pub fn digest_matched(&mut self, from: Incarnation, number: u32) {
+        self.unconfirmed_releases
+            .retain(|_, release| release.home != from || release.sent > number);
     }
 
-    /// A home keeps something else of this entry than this entry does.
+    /// Handles the reply that a home's state of this entry differs from the
+    /// digest.
     pub fn resync(&mut self, step: &mut Step, from: Incarnation) {
         let now = step.context.now;
-        for (permit, end) in self.ends.iter_mut().filter(|(_, end)| end.home == from) {
-            let call = Call::End(End {
+        for (permit, release) in self
+            .unconfirmed_releases
+            .iter_mut()
+            .filter(|(_, release)| release.home == from)
+        {
+            let call = Call::Release(Release {
                 permit: *permit,
-                result: end.result,
+                result: release.result,
             });
-            end.sent = step.post.call(now, from, Urgency::Now, call);
+            release.sent = step.transport.send_call(now, from, Urgency::Now, call);
         }
-        self.sync(step, from, None);
+        self.send_sync(step, from, None);
     }
 
-    /// Tells a home all that this entry waits for and holds there.
-    pub(super) fn sync(&self, step: &mut Step, home: Incarnation, scope: Option<Id>) {
-        let asked = self.asked_of(home, scope);
-        let mut items: Vec<(u64, Option<Held>)> = asked.map(|(number, _)| (number, None)).collect();
-        let held = self.held_of(home, scope);
-        items.extend(held.map(|(number, holding)| (number, Some(pack_held(number, holding)))));
+    /// Sends a home the full list of this entry's requests and permits there.
+    pub(super) fn send_sync(&self, step: &mut Step, home: Incarnation, scope: Option<NameHash>) {
+        let requested = self.pending_at(home, scope);
+        let mut items: Vec<(u64, Option<HeldPermit>)> =
+            requested.map(|(number, _)| (number, None)).collect();
+        let held = self.permits_from(home, scope);
+        items.extend(held.map(|(number, active)| (number, Some(to_held_permit(number, active)))));
         items.sort_by_key(|(number, _)| *number);
         let mut from = 0;
         let mut rest = items.as_slice();
         loop {
-            let (chunk, after) = rest.split_at(rest.len().min(CHUNK));
+            let (chunk, after) = rest.split_at(rest.len().min(MAX_SYNC_ITEMS));
             rest = after;
             let to = rest.first().map_or(u64::MAX, |(number, _)| number - 1);
             let sync = Sync {
@@ -202,8 +214,8 @@
                     .collect(),
                 held: chunk.iter().filter_map(|(_, held)| held.clone()).collect(),
             };
-            step.post
-                .call(step.context.now, home, Urgency::Now, Call::Sync(sync));
+            step.transport
+                .send_call(step.context.now, home, Urgency::Now, Call::Sync(sync));
             if rest.is_empty() {
                 return;
             }
@@ -211,12 +223,17 @@
         }
     }
 
-    /// Asks that wait for a home's answer, and whether it said that it keeps them.
-    fn asked_of(&self, peer: Incarnation, scope: Option<Id>) -> impl Iterator<Item = (u64, bool)> {
-        self.wanted.iter().filter_map(move |(number, wanted)| {
-            let Place::Asked {
+    /// Iterates over the requests that wait at a home, and whether it has
+    /// confirmed them as queued.
+    fn pending_at(
+        &self,
+        peer: Incarnation,
+        scope: Option<NameHash>,
+    ) -> impl Iterator<Item = (u64, bool)> {
+        self.pending.iter().filter_map(move |(number, pending)| {
+            let WaitState::AtHome {
                 home, pool, queued, ..
-            } = wanted.place
+            } = pending.wait
             else {
                 return None;
             };
@@ -225,50 +242,50 @@
         })
     }
 
-    /// Permits that a home counts.
-    fn held_of(
+    /// Iterates over the permits that a home counts.
+    fn permits_from(
         &self,
         peer: Incarnation,
-        scope: Option<Id>,
-    ) -> impl Iterator<Item = (u64, &Holding)> {
-        let of = move |holding: &Holding| {
-            holding.source == Source::Home(peer) && scope.is_none_or(|scope| scope == holding.pool)
+        scope: Option<NameHash>,
+    ) -> impl Iterator<Item = (u64, &ActivePermit)> {
+        let of = move |active: &ActivePermit| {
+            active.source == Source::Home(peer) && scope.is_none_or(|scope| scope == active.pool)
         };
-        self.held
+        self.active
             .iter()
-            .filter(move |(_, holding)| of(holding))
-            .map(|(number, holding)| (*number, holding))
+            .filter(move |(_, active)| of(active))
+            .map(|(number, active)| (*number, active))
     }
 }
 
-/// A permit in the form of messages.
-pub(super) fn pack_held(permit: u64, holding: &Holding) -> Held {
-    Held {
+/// Converts a permit into its message form.
+pub(super) fn to_held_permit(permit: u64, active: &ActivePermit) -> HeldPermit {
+    HeldPermit {
         permit,
-        pool: holding.pool,
-        endpoint: holding.endpoint,
-        profile: holding.profile.clone(),
-        identity: holding.identity,
+        pool: active.pool,
+        endpoint: active.endpoint,
+        profile: active.profile.clone(),
+        identity: active.identity,
     }
 }
 
-/// An ask in the form of messages.
-fn pack(context: &Context, permit: u64, pool: Id, ask: &Ask) -> message::Ask {
+/// Converts a request into its message form.
+fn to_acquire(context: &Context, permit: u64, pool: NameHash, ask: &Ask) -> message::Acquire {
     let (later, earlier) = (ask.deadline - context.now, context.now - ask.deadline);
     let span = |span: Millis| i64::try_from(span.0).unwrap_or(i64::MAX);
-    message::Ask {
+    message::Acquire {
         permit,
         pool,
         profile: profile(ask),
         weight: ask.weight,
         slack: span(later) - span(earlier),
-        avoid: ask.avoid.iter().map(Id::of_endpoint).collect(),
-        prefix: short(ask.prefix),
+        avoid: ask.avoid.iter().map(NameHash::of_endpoint).collect(),
+        prefix: low_bits(ask.prefix),
         identity: ask.identity,
     }
 }
 
-/// Half of a hash is enough to find a warm cache.
-fn short(hash: u64) -> u32 {
+/// Truncates a hash: half of it is enough to find a warm cache.
+fn low_bits(hash: u64) -> u32 {
     u32::try_from(hash & u64::from(u32::MAX)).unwrap_or(0)
 }
--- a/crates/core/src/permit/broker/state.rs
+++ b/crates/core/src/permit/broker/state.rs
@@ -1,89 +1,91 @@
-//! What a broker keeps of each ask and of each permit.
+//! The state that a broker keeps for each request and each permit.
 
 use crate::clock::Millis;
 use crate::control::event::Ask;
 use crate::name::{self, Incarnation};
-use crate::permit::Id;
+use crate::permit::NameHash;
 use crate::permit::message::{Profile, Run};
 
-/// A request that waits for a place.
+/// A request that is waiting for a permit.
 #[derive(Debug)]
-pub struct Wanted {
-    /// What it asks for.
+pub struct PendingRequest {
+    /// What the request needs.
     pub ask: Ask,
-    /// When it asked first.
+    /// When the request arrived.
     pub since: Millis,
-    /// Pools that had no place for it.
-    pub tried: Vec<Id>,
-    /// When to come back, as the pools that shed it said.
+    /// Pools that have rejected the request.
+    pub tried_pools: Vec<NameHash>,
+    /// The longest retry delay given by the pools that shed the request.
     pub shed: Option<Millis>,
-    /// Answers of entries that are not home.
-    pub misses: u32,
-    /// Where it waits.
-    pub place: Place,
+    /// Number of replies from entries that were not the home.
+    pub redirects: u32,
+    /// Where the request is waiting.
+    pub wait: WaitState,
 }
 
-/// Where a request waits.
+/// Where a request is waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Nowhere until then.
+pub enum WaitState {
+    /// Not placed yet; to be placed at this time.
     Unplaced(Millis),
-    /// At a pool's home.
-    Asked {
+    /// At the home of a pool.
+    AtHome {
         /// The home.
         home: Incarnation,
         /// The pool.
-        pool: Id,
-        /// The home said that it keeps the ask.
+        pool: NameHash,
+        /// Whether the home has confirmed that the request is queued.
         queued: bool,
-        /// When it is repeated, unless it is queued.
-        again: Millis,
-        /// The wait before that.
+        /// When to retransmit the request, unless it is queued.
+        retry_at: Millis,
+        /// The current delay between retransmissions.
         backoff: Millis,
     },
-    /// At this entry, for its own fraction of a pool whose home is unreachable.
-    Alone(Id),
+    /// In the local fallback of a pool whose home is unreachable.
+    Local(NameHash),
 }
 
 /// A permit in use.
 #[derive(Clone, Debug)]
-pub struct Holding {
-    /// The request that uses it.
+pub struct ActivePermit {
+    /// The request that uses the permit.
     pub request: name::Request,
     /// The pool.
-    pub pool: Id,
+    pub pool: NameHash,
     /// The endpoint.
-    pub endpoint: Id,
-    /// Who uses it.
+    pub endpoint: NameHash,
+    /// The workspace, tier and class of the request.
     pub profile: Profile,
-    /// Hash of workspace and identity; 0 for none.
+    /// Hash of workspace and identity, or 0 if there is no identity.
     pub identity: u64,
-    /// Others wait for the place.
+    /// Whether the pool was contended when it granted the permit, which is then
+    /// released without delay.
     pub contended: bool,
-    /// Who counts it.
+    /// Who counts the permit.
     pub source: Source,
 }
 
 /// Who counts a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Nobody yet: it is older than the control branch.
+    /// Not known yet: the permit was granted before the control branch started.
     Unknown,
     /// A pool's home.
     Home(Incarnation),
-    /// A loan of a pool's home.
+    /// A loan from a pool's home.
     Loan,
-    /// The own fraction of a pool whose home is unreachable, with its number there.
-    Alone(u64),
+    /// The local fallback of a pool whose home is unreachable, with the permit's
+    /// number there.
+    Local(u64),
 }
 
-/// The end of a permit that its home has not confirmed.
+/// The release of a permit that its home has not confirmed.
 #[derive(Debug)]
-pub struct Unconfirmed {
+pub struct UnconfirmedRelease {
     /// The home.
     pub home: Incarnation,
-    /// How the run went.
+    /// The result of the run.
     pub result: Run,
-    /// The message that carried it.
+    /// The sequence number of the message that carried the release.
     pub sent: u32,
 }
--- a/crates/core/src/permit/context.rs
+++ b/crates/core/src/permit/context.rs
@@ -1,4 +1,4 @@
-//! What a step of the permit protocol can see.
+//! Read-only inputs of one step of the permit protocol.
 
 use crate::clock::Millis;
 use crate::control::Directory;
@@ -6,22 +6,23 @@
 use crate::name;
 use crate::permit::Topology;
 
-/// The surroundings of one step.
+/// The state outside the protocol that one step may read.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// The time.
+    /// The current time.
     pub now: Millis,
-    /// The entries.
+    /// The entries of the fleet, as membership sees them.
     pub members: &'a Members,
-    /// The endpoints.
+    /// The endpoints and their state.
     pub directory: &'a Directory,
     /// The pools and their homes.
     pub topology: &'a Topology,
 }
 
 impl Context<'_> {
-    /// Whether a life of an entry may still hold something.
-    pub fn alive(&self, entry: name::Incarnation) -> bool {
+    /// Whether an incarnation of an entry may still hold permits. False once
+    /// membership has declared it gone.
+    pub fn is_alive(&self, entry: name::Incarnation) -> bool {
         let member = self.members.by_incarnation(entry);
         member.is_some_and(|member| member.standing != Standing::Gone)
     }
--- a/crates/core/src/permit/home.rs
+++ b/crates/core/src/permit/home.rs
@@ -1,177 +1,217 @@
-//! The home side: answers the asks for the pools that this entry is home to.
+//! The home side of the protocol: answers the permit requests for the pools
+//! whose home this entry is.
 //!
-//! All state here is soft: a new home rebuilds it from what the entries hold.
+//! All state here is soft: a new home rebuilds it from what the entries report.
 
 use std::collections::BTreeMap;
 
 use crate::control::event;
 use crate::name::{self, Incarnation};
-use crate::permit::message::{Ask, End, Grant, Reply};
-use crate::permit::post::Urgency;
-use crate::permit::{Context, Id, Post};
+use crate::permit::message::{Acquire, Grant, Release, Reply};
+use crate::permit::transport::Urgency;
+use crate::permit::{Context, NameHash, Transport};
 use crate::pool::{Decision, Limits, Waiter};
 
-mod audit;
 mod lending;
-mod seat;
+mod reconciliation;
+mod state;
 mod takeover;
 
-use seat::{Entry, Holder, Phase, Seat, State};
+use state::{Holder, ManagedPool, PermitRecord, PermitState, Phase};
 
-/// The pools that this entry is home to, and what each entry has of them.
+/// The pools whose home this entry is, with the requests and permits of each
+/// entry.
 #[derive(Debug)]
 pub struct Home {
     limits: Limits,
-    seats: BTreeMap<Id, Seat>,
+    pools: BTreeMap<NameHash, ManagedPool>,
     holders: BTreeMap<Incarnation, Holder>,
-    identities: BTreeMap<u64, (Incarnation, u64)>,
-    /// Counts what needs a number of its own within this life: pools, adopted
-    /// permits, loans. Starts elsewhere after each restart of the control branch.
-    drawn: u32,
+    identity_holders: BTreeMap<u64, (Incarnation, u64)>,
+    /// Source of numbers that must be unique within this incarnation: pool
+    /// seeds, adopted permits and loans. The generation in its upper bits
+    /// separates restarts of the control branch.
+    numbers_drawn: u32,
 }
 
 impl Home {
-    /// Home to nothing. The generation counts the restarts of the control branch.
+    /// Creates a home without pools. The generation counts the restarts of the
+    /// control branch.
     pub fn new(limits: Limits, generation: u32) -> Self {
         Self {
             limits,
-            seats: BTreeMap::new(),
+            pools: BTreeMap::new(),
             holders: BTreeMap::new(),
-            identities: BTreeMap::new(),
-            drawn: generation << 24,
+            identity_holders: BTreeMap::new(),
+            numbers_drawn: generation << 24,
         }
     }
 
-    /// The pools that this entry is home to, with their waiting lists.
-    pub fn pools(&self) -> impl Iterator<Item = (Id, &crate::pool::Pool)> {
-        self.seats.iter().map(|(id, seat)| (*id, &seat.pool))
+    /// Iterates over the pools whose home this entry is.
+    pub fn pools(&self) -> impl Iterator<Item = (NameHash, &crate::pool::Pool)> {
+        self.pools.iter().map(|(id, managed)| (*id, &managed.pool))
     }
 
-    /// Requests that run at an endpoint, and places lent there, in this home's pools.
+    /// Returns the number of requests running at an endpoint and of slots lent
+    /// there, in the pools of this home.
     pub fn in_flight(&self, endpoint: &name::Endpoint) -> u32 {
-        let pools = self.seats.values().map(|seat| seat.pool.stats());
+        let pools = self.pools.values().map(|managed| managed.pool.stats());
         pools
             .filter_map(|stats| stats.in_flight.get(endpoint).copied())
             .sum()
     }
 
-    /// Takes in an ask of an entry.
-    pub fn ask(&mut self, context: &Context, post: &mut Post, from: Incarnation, ask: &Ask) {
-        if !self.seats.contains_key(&ask.pool) {
-            let reply = match context.topology.pool(ask.pool) {
-                Some(place) => Reply::NotHome(ask.permit, place.home),
-                None => Reply::NoEndpoint(ask.permit),
+    /// Handles a permit request from an entry.
+    pub fn acquire(
+        &mut self,
+        context: &Context,
+        transport: &mut Transport,
+        from: Incarnation,
+        acquire: &Acquire,
+    ) {
+        if !self.pools.contains_key(&acquire.pool) {
+            let reply = match context.topology.pool(acquire.pool) {
+                Some(info) => Reply::NotHome(acquire.permit, info.home),
+                None => Reply::NoEndpoint(acquire.permit),
             };
-            post.reply(from, Urgency::Now, reply);
-        } else if self.answer_again(post, from, ask.permit) {
-            // It was repeated, or delivered twice.
-        } else if let Some(holder) = self.elsewhere(from, ask.identity) {
-            post.reply(from, Urgency::Now, Reply::Elsewhere(ask.permit, holder));
+            transport.send_reply(from, Urgency::Now, reply);
+        } else if self.repeat_answer(transport, from, acquire.permit) {
+            // The request was retransmitted or delivered twice.
+        } else if let Some(holder) = self.identity_holder(from, acquire.identity) {
+            transport.send_reply(
+                from,
+                Urgency::Now,
+                Reply::IdentityInUse(acquire.permit, holder),
+            );
         } else {
-            self.take_in(context, post, from, ask);
+            self.enqueue(context, transport, from, acquire);
         }
     }
 
-    fn take_in(&mut self, context: &Context, post: &mut Post, from: Incarnation, ask: &Ask) {
-        let Some(seat) = self.seats.get_mut(&ask.pool) else {
+    fn enqueue(
+        &mut self,
+        context: &Context,
+        transport: &mut Transport,
+        from: Incarnation,
+        acquire: &Acquire,
+    ) {
+        let Some(managed) = self.pools.get_mut(&acquire.pool) else {
             return;
         };
         let waiter = Waiter {
-            ask: unpack(context, from, ask, &seat.name),
+            ask: to_pool_ask(context, from, acquire, &managed.name),
             holder: from,
         };
         let mut decisions = Vec::new();
-        match &mut seat.phase {
+        match &mut managed.phase {
             Phase::Rebuilding(rebuild) => rebuild.waiting.push(waiter),
-            Phase::Serving => seat.pool.ask(context.now, waiter, &mut decisions),
+            Phase::Serving => managed.pool.ask(context.now, waiter, &mut decisions),
         }
-        self.keep(from, ask.permit, Entry::waiting(ask.pool, ask.identity));
-        self.carry_out(post, ask.pool, decisions);
-        self.say_queued(post, from, ask.permit);
-        self.count_ask(context, post, from, ask.pool);
-        self.recall(context, post, ask.pool);
+        self.insert_record(
+            from,
+            acquire.permit,
+            PermitRecord::waiting(acquire.pool, acquire.identity),
+        );
+        self.apply_decisions(transport, acquire.pool, decisions);
+        self.send_queued(transport, from, acquire.permit);
+        self.count_request(context, transport, from, acquire.pool);
+        self.recall_loans(context, transport, acquire.pool);
     }
 
-    /// Takes in the end of an ask or of a permit.
-    pub fn end(&mut self, context: &Context, post: &mut Post, from: Incarnation, end: &End) {
-        let Some(entry) = self.remove(from, end.permit) else {
+    /// Handles the end of a request or of a permit.
+    pub fn release(
+        &mut self,
+        context: &Context,
+        transport: &mut Transport,
+        from: Incarnation,
+        release: &Release,
+    ) {
+        let Some(record) = self.remove_record(from, release.permit) else {
             return;
         };
-        self.release(context, post, from, end, &entry);
+        self.free_record(context, transport, from, release, &record);
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, context: &Context, post: &mut Post) {
-        let ids: Vec<Id> = self.seats.keys().copied().collect();
+    /// Runs the periodic work of all pools.
+    pub fn tick(&mut self, context: &Context, transport: &mut Transport) {
+        let ids: Vec<NameHash> = self.pools.keys().copied().collect();
         for id in ids {
-            self.rebuild(context, post, id);
-            let Some(seat) = self.seats.get_mut(&id) else {
+            self.advance_rebuild(context, transport, id);
+            let Some(managed) = self.pools.get_mut(&id) else {
                 continue;
             };
             let mut decisions = Vec::new();
-            seat.pool.tick(context.now, &mut decisions);
-            seat.drop_ended_loans(context.now);
-            self.carry_out(post, id, decisions);
-            self.recall(context, post, id);
+            managed.pool.tick(context.now, &mut decisions);
+            managed.drop_ended_loans(context.now);
+            self.apply_decisions(transport, id, decisions);
+            self.recall_loans(context, transport, id);
         }
-        self.audit(context.now, post);
+        self.request_overdue_syncs(context.now, transport);
     }
 
-    /// Frees what an entry of this home stood for.
-    fn release(
+    /// Frees the queue position or slot of a record that was removed.
+    fn free_record(
         &mut self,
         context: &Context,
-        post: &mut Post,
+        transport: &mut Transport,
         from: Incarnation,
-        end: &End,
-        entry: &Entry,
+        release: &Release,
+        record: &PermitRecord,
     ) {
-        let Some(seat) = self.seats.get_mut(&entry.seat) else {
+        let Some(managed) = self.pools.get_mut(&record.pool) else {
             return;
         };
-        let request = request(from, end.permit);
+        let request = request_name(from, release.permit);
         let mut decisions = Vec::new();
-        match &entry.state {
-            State::Waiting => {
-                if let Phase::Rebuilding(rebuild) = &mut seat.phase {
+        match &record.state {
+            PermitState::Waiting => {
+                if let Phase::Rebuilding(rebuild) = &mut managed.phase {
                     rebuild
                         .waiting
                         .retain(|waiter| waiter.ask.request != request);
                 }
-                seat.pool.withdraw(context.now, request, &mut decisions);
+                managed.pool.withdraw(context.now, request, &mut decisions);
             }
-            State::Held { permit, .. } => {
-                let done = end.result.done(request, *permit);
-                seat.pool.done(context.now, &done, &mut decisions);
+            PermitState::Held { permit, .. } => {
+                let done = release.result.done(request, *permit);
+                managed.pool.done(context.now, &done, &mut decisions);
             }
         }
-        self.carry_out(post, entry.seat, decisions);
+        self.apply_decisions(transport, record.pool, decisions);
     }
 
-    /// Says again how it stands with a known ask. False: it is not known.
-    fn answer_again(&mut self, post: &mut Post, from: Incarnation, permit: u64) -> bool {
-        let Some(entry) = self.entry(from, permit) else {
+    /// Repeats the answer to a known request. Returns false if the request is
+    /// not known.
+    fn repeat_answer(&mut self, transport: &mut Transport, from: Incarnation, permit: u64) -> bool {
+        let Some(record) = self.record_mut(from, permit) else {
             return false;
         };
-        if let State::Held { grant, .. } = entry.state {
-            entry.told = Some(post.reply(from, Urgency::Now, Reply::Grant(grant)));
+        if let PermitState::Held { grant, .. } = record.state {
+            record.grant_message =
+                Some(transport.send_reply(from, Urgency::Now, Reply::Grant(grant)));
         }
-        self.say_queued(post, from, permit);
+        self.send_queued(transport, from, permit);
         true
     }
 
-    /// Says that an ask is kept, unless it was answered otherwise.
-    fn say_queued(&mut self, post: &mut Post, from: Incarnation, permit: u64) {
-        if let Some(entry) = self.entry(from, permit)
-            && matches!(entry.state, State::Waiting)
+    /// Confirms that a request is queued, unless it has been granted.
+    fn send_queued(&mut self, transport: &mut Transport, from: Incarnation, permit: u64) {
+        if let Some(record) = self.record_mut(from, permit)
+            && matches!(record.state, PermitState::Waiting)
         {
-            // Many grants follow within the tick: then this goes in one message with them.
-            entry.queued = Some(post.reply(from, Urgency::Tick, Reply::Queued(permit)));
+            // Many grants follow within the tick; the confirmation then shares a
+            // message with them.
+            record.queued_message =
+                Some(transport.send_reply(from, Urgency::Tick, Reply::Queued(permit)));
         }
     }
 
-    /// Passes on what a pool decided.
-    fn carry_out(&mut self, post: &mut Post, id: Id, decisions: Vec<Decision>) {
+    /// Sends the decisions of a pool to the entries concerned.
+    fn apply_decisions(
+        &mut self,
+        transport: &mut Transport,
+        id: NameHash,
+        decisions: Vec<Decision>,
+    ) {
         for decision in decisions {
             match decision {
                 Decision::Grant {
@@ -182,106 +222,121 @@
                     priority,
                     ..
                 } => {
-                    let contended = self.seats[&id].pool.contended();
+                    let contended = self.pools[&id].pool.contended();
                     let grant = Grant {
                         permit: request.sequence,
-                        endpoint: Id::of_endpoint(&endpoint),
+                        endpoint: NameHash::of_endpoint(&endpoint),
                         priority,
                         contended,
                     };
-                    self.granted(post, holder, permit, grant);
+                    self.record_grant(transport, holder, permit, grant);
                 }
                 Decision::Shed {
                     request,
                     holder,
                     retry_after,
                 } => {
-                    self.remove(holder, request.sequence);
+                    self.remove_record(holder, request.sequence);
                     let reply = Reply::Shed(request.sequence, retry_after);
-                    post.reply(holder, Urgency::Now, reply);
+                    transport.send_reply(holder, Urgency::Now, reply);
                 }
                 Decision::NoEndpoint { request, holder } => {
-                    self.remove(holder, request.sequence);
-                    post.reply(holder, Urgency::Now, Reply::NoEndpoint(request.sequence));
+                    self.remove_record(holder, request.sequence);
+                    transport.send_reply(holder, Urgency::Now, Reply::NoEndpoint(request.sequence));
                 }
             }
         }
     }
 
-    fn granted(&mut self, post: &mut Post, holder: Incarnation, permit: u64, grant: Grant) {
-        let Some(entry) = self.entry(holder, grant.permit) else {
+    fn record_grant(
+        &mut self,
+        transport: &mut Transport,
+        holder: Incarnation,
+        permit: u64,
+        grant: Grant,
+    ) {
+        let Some(record) = self.record_mut(holder, grant.permit) else {
             return;
         };
-        entry.state = State::Held { permit, grant };
-        entry.told = Some(post.reply(holder, Urgency::Now, Reply::Grant(grant)));
+        record.state = PermitState::Held { permit, grant };
+        record.grant_message =
+            Some(transport.send_reply(holder, Urgency::Now, Reply::Grant(grant)));
     }
 
-    /// The entry at which another request of this identity waits or runs.
-    fn elsewhere(&self, from: Incarnation, identity: u64) -> Option<Incarnation> {
-        let (holder, _) = self.identities.get(&identity)?;
+    /// Returns the other entry at which a request with this identity is waiting
+    /// or running.
+    fn identity_holder(&self, from: Incarnation, identity: u64) -> Option<Incarnation> {
+        let (holder, _) = self.identity_holders.get(&identity)?;
         (*holder != from).then_some(*holder)
     }
 
-    fn entry(&mut self, holder: Incarnation, permit: u64) -> Option<&mut Entry> {
-        self.holders.get_mut(&holder)?.entries.get_mut(&permit)
+    fn record_mut(&mut self, holder: Incarnation, permit: u64) -> Option<&mut PermitRecord> {
+        self.holders.get_mut(&holder)?.records.get_mut(&permit)
     }
 
-    fn keep(&mut self, holder: Incarnation, permit: u64, entry: Entry) {
-        if entry.identity != 0 {
-            self.identities.insert(entry.identity, (holder, permit));
+    fn insert_record(&mut self, holder: Incarnation, permit: u64, record: PermitRecord) {
+        if record.identity != 0 {
+            self.identity_holders
+                .insert(record.identity, (holder, permit));
         }
         let holder = self.holders.entry(holder).or_default();
-        holder.entries.insert(permit, entry);
+        holder.records.insert(permit, record);
     }
 
-    fn remove(&mut self, from: Incarnation, permit: u64) -> Option<Entry> {
+    fn remove_record(&mut self, from: Incarnation, permit: u64) -> Option<PermitRecord> {
         let holder = self.holders.get_mut(&from)?;
-        let entry = holder.entries.remove(&permit)?;
-        if holder.entries.is_empty() {
+        let record = holder.records.remove(&permit)?;
+        if holder.records.is_empty() {
             self.holders.remove(&from);
         }
-        if self.identities.get(&entry.identity) == Some(&(from, permit)) {
-            self.identities.remove(&entry.identity);
+        if self.identity_holders.get(&record.identity) == Some(&(from, permit)) {
+            self.identity_holders.remove(&record.identity);
         }
-        Some(entry)
+        Some(record)
     }
 
-    fn draw(&mut self) -> u32 {
-        self.drawn += 1;
-        self.drawn
+    fn next_number(&mut self) -> u32 {
+        self.numbers_drawn += 1;
+        self.numbers_drawn
     }
 }
 
-/// An ask's name inside a pool: the numbers of one entry are unique.
-fn request(holder: Incarnation, permit: u64) -> name::Request {
+/// Builds the name of a request inside a pool. It is unique because an entry
+/// uses each permit number once.
+fn request_name(holder: Incarnation, permit: u64) -> name::Request {
     name::Request {
         incarnation: holder,
         sequence: permit,
     }
 }
 
-/// An ask in the form that pools take.
-fn unpack(context: &Context, from: Incarnation, ask: &Ask, pool: &name::Pool) -> event::Ask {
-    let slack = crate::clock::Millis(ask.slack.unsigned_abs());
-    let deadline = if ask.slack < 0 {
+/// Converts a permit request into the form that pools take.
+fn to_pool_ask(
+    context: &Context,
+    from: Incarnation,
+    acquire: &Acquire,
+    pool: &name::Pool,
+) -> event::Ask {
+    let slack = crate::clock::Millis(acquire.slack.unsigned_abs());
+    let deadline = if acquire.slack < 0 {
         context.now - slack
     } else {
         context.now + slack
     };
-    let avoid = ask
+    let avoid = acquire
         .avoid
         .iter()
         .filter_map(|id| context.topology.endpoint(*id).cloned());
     event::Ask {
-        request: request(from, ask.permit),
+        request: request_name(from, acquire.permit),
         target: pool.target.clone(),
-        workspace: ask.profile.workspace.clone(),
-        tier: ask.profile.tier,
-        class: ask.profile.class.clone(),
-        weight: ask.weight,
+        workspace: acquire.profile.workspace.clone(),
+        tier: acquire.profile.tier,
+        class: acquire.profile.class.clone(),
+        weight: acquire.weight,
         deadline,
         avoid: avoid.collect(),
-        prefix: u64::from(ask.prefix),
-        identity: ask.identity,
+        prefix: u64::from(acquire.prefix),
+        identity: acquire.identity,
     }
 }
--- a/crates/core/src/permit/home/takeover.rs
+++ b/crates/core/src/permit/home/takeover.rs
@@ -1,154 +1,172 @@
-//! Becoming home to a pool, and ceasing to be.
+//! Taking over pools as their new home, and handing them over to another.
 
 use std::collections::BTreeMap;
 
 use crate::clock::Millis;
 use crate::name::Incarnation;
 use crate::permit::message::{Reply, Sync};
-use crate::permit::post::Urgency;
-use crate::permit::{Context, Id, Post};
+use crate::permit::transport::Urgency;
+use crate::permit::{Context, NameHash, Transport};
 use crate::pool::Pool;
 
 use super::Home;
-use super::seat::{Phase, Rebuild, Seat, State};
+use super::state::{ManagedPool, PermitState, Phase, Rebuild};
 
-/// How long a new home waits for what the entries hold: one heartbeat.
-pub const ROUND: Millis = Millis(1_000);
-/// How often those that have said nothing are told again of the new home.
-const CLAIM_PERIOD: Millis = Millis(100);
+/// How long a new home waits for the entries to report their permits: one digest
+/// interval.
+pub const REBUILD_TIMEOUT: Millis = Millis(1_000);
+/// Interval at which entries whose report is missing are told of the new home
+/// again.
+const CLAIM_INTERVAL: Millis = Millis(100);
 
 impl Home {
-    /// Pools, homes or entries have changed.
-    pub fn update(&mut self, context: &Context, post: &mut Post) {
-        self.forget_gone(context, post);
-        self.leave_pools(context, post);
-        self.take_pools(context);
-        self.update_endpoints(context, post, None);
+    /// Adapts the pools to a change of members, homes or endpoints.
+    pub fn topology_changed(&mut self, context: &Context, transport: &mut Transport) {
+        self.forget_dead_entries(context, transport);
+        self.drop_moved_pools(context, transport);
+        self.take_over_pools(context);
+        self.update_endpoints(context, transport, None);
     }
 
-    /// Endpoints have changed; those of one pool, or of all.
-    pub fn update_endpoints(&mut self, context: &Context, post: &mut Post, only: Option<Id>) {
-        let ids: Vec<Id> = self
-            .seats
+    /// Updates the endpoints of one pool, or of all pools.
+    pub fn update_endpoints(
+        &mut self,
+        context: &Context,
+        transport: &mut Transport,
+        only: Option<NameHash>,
+    ) {
+        let ids: Vec<NameHash> = self
+            .pools
             .keys()
             .copied()
             .filter(|id| only.is_none_or(|only| only == *id))
             .collect();
         for id in ids {
-            let Some(seat) = self.seats.get_mut(&id) else {
+            let Some(managed) = self.pools.get_mut(&id) else {
                 continue;
             };
-            let endpoints: Vec<_> = context.topology.usable(id, context.directory).collect();
+            let endpoints: Vec<_> = context
+                .topology
+                .usable_endpoints(id, context.directory)
+                .collect();
             let mut decisions = Vec::new();
-            seat.pool
+            managed
+                .pool
                 .set_endpoints(context.now, &endpoints, &mut decisions);
-            self.carry_out(post, id, decisions);
+            self.apply_decisions(transport, id, decisions);
         }
     }
 
-    fn forget_gone(&mut self, context: &Context, post: &mut Post) {
+    fn forget_dead_entries(&mut self, context: &Context, transport: &mut Transport) {
         let known = self.holders.keys();
-        let lent = self.seats.values().flat_map(|seat| seat.loans.keys());
+        let lent = self.pools.values().flat_map(|managed| managed.loans.keys());
         let mut gone: Vec<Incarnation> = known
             .chain(lent)
             .copied()
-            .filter(|entry| !context.alive(*entry))
+            .filter(|entry| !context.is_alive(*entry))
             .collect();
         gone.sort_unstable();
         gone.dedup();
-        for seat in self.seats.values_mut() {
-            if let Phase::Rebuilding(rebuild) = &mut seat.phase {
-                rebuild.missing.retain(|entry, _| context.alive(*entry));
+        for managed in self.pools.values_mut() {
+            if let Phase::Rebuilding(rebuild) = &mut managed.phase {
+                rebuild.missing.retain(|entry, _| context.is_alive(*entry));
             }
         }
         for entry in gone {
-            self.forget(context, post, entry);
+            self.forget_entry(context, transport, entry);
         }
     }
 
-    fn forget(&mut self, context: &Context, post: &mut Post, entry: Incarnation) {
+    fn forget_entry(&mut self, context: &Context, transport: &mut Transport, entry: Incarnation) {
         self.holders.remove(&entry);
-        self.identities.retain(|_, (holder, _)| *holder != entry);
-        let ids: Vec<Id> = self.seats.keys().copied().collect();
+        self.identity_holders
+            .retain(|_, (holder, _)| *holder != entry);
+        let ids: Vec<NameHash> = self.pools.keys().copied().collect();
         for id in ids {
-            let Some(seat) = self.seats.get_mut(&id) else {
+            let Some(managed) = self.pools.get_mut(&id) else {
                 continue;
             };
-            seat.loans.remove(&entry);
-            seat.rates.remove(&entry);
-            if let Phase::Rebuilding(rebuild) = &mut seat.phase {
+            managed.loans.remove(&entry);
+            managed.rates.remove(&entry);
+            if let Phase::Rebuilding(rebuild) = &mut managed.phase {
                 rebuild.waiting.retain(|waiter| waiter.holder != entry);
             }
             let mut decisions = Vec::new();
-            seat.pool.forget_holder(context.now, entry, &mut decisions);
-            self.carry_out(post, id, decisions);
+            managed
+                .pool
+                .forget_holder(context.now, entry, &mut decisions);
+            self.apply_decisions(transport, id, decisions);
         }
     }
 
-    fn leave_pools(&mut self, context: &Context, post: &mut Post) {
-        let own = Some(post.own());
-        let left: Vec<Id> = self
-            .seats
+    fn drop_moved_pools(&mut self, context: &Context, transport: &mut Transport) {
+        let own = Some(transport.own());
+        let left: Vec<NameHash> = self
+            .pools
             .keys()
             .copied()
             .filter(|id| context.topology.home(*id) != own)
             .collect();
         for id in left {
-            self.seats.remove(&id);
-            self.leave(context, post, id);
+            self.pools.remove(&id);
+            self.redirect_waiting(context, transport, id);
         }
     }
 
-    /// Sends the waiting asks of a pool on to its new home.
-    fn leave(&mut self, context: &Context, post: &mut Post, id: Id) {
+    /// Removes all records of a pool and redirects its waiting requests to the
+    /// new home.
+    fn redirect_waiting(&mut self, context: &Context, transport: &mut Transport, id: NameHash) {
         let hint = context.topology.home(id);
         let mut left = Vec::new();
-        for (holder, entries) in &self.holders {
-            let of_pool = entries.entries.iter().filter(|(_, entry)| entry.seat == id);
-            left.extend(of_pool.map(|(permit, entry)| (*holder, *permit, entry.state)));
+        for (holder, permits) in &self.holders {
+            let of_pool = permits
+                .records
+                .iter()
+                .filter(|(_, record)| record.pool == id);
+            left.extend(of_pool.map(|(permit, record)| (*holder, *permit, record.state)));
         }
         for (holder, permit, state) in left {
-            self.remove(holder, permit);
-            if matches!(state, State::Waiting) {
-                post.reply(holder, Urgency::Now, Reply::NotHome(permit, hint));
+            self.remove_record(holder, permit);
+            if matches!(state, PermitState::Waiting) {
+                transport.send_reply(holder, Urgency::Now, Reply::NotHome(permit, hint));
             }
         }
     }
 
-    fn take_pools(&mut self, context: &Context) {
+    fn take_over_pools(&mut self, context: &Context) {
         let own = Some(context.members.own().incarnation);
-        for (id, place) in context.topology.pools() {
-            if place.home != own || self.seats.contains_key(&id) {
+        for (id, info) in context.topology.pools() {
+            if info.home != own || self.pools.contains_key(&id) {
                 continue;
             }
             let rebuild = Rebuild {
-                until: context.now + ROUND,
+                until: context.now + REBUILD_TIMEOUT,
                 next_claim: context.now,
                 missing: context
                     .members
                     .iter()
-                    .filter(|member| context.alive(member.incarnation))
+                    .filter(|member| context.is_alive(member.incarnation))
                     .map(|member| (member.incarnation, 0))
                     .collect(),
                 waiting: Vec::new(),
             };
-            let seed = self.draw();
-            let seat = Seat {
-                name: place.pool.clone(),
+            let seed = self.next_number();
+            let managed = ManagedPool {
+                name: info.pool.clone(),
                 pool: Pool::new(self.limits.clone(), u64::from(seed)),
                 phase: Phase::Rebuilding(rebuild),
                 loans: BTreeMap::new(),
                 rates: BTreeMap::new(),
             };
-            self.seats.insert(id, seat);
+            self.pools.insert(id, managed);
         }
     }
 
-    /// An entry has said what it holds of one pool, or of all.
-    pub(super) fn note_synced(&mut self, from: Incarnation, sync: &Sync) {
-        let in_scope = |id: &Id| sync.scope.is_some_and(|scope| scope == *id);
-        for (_, seat) in self.seats.iter_mut().filter(|(id, _)| in_scope(id)) {
-            let Phase::Rebuilding(rebuild) = &mut seat.phase else {
+    /// Notes that an entry has reported its permits for one pool.
+    pub(super) fn record_sync(&mut self, from: Incarnation, sync: &Sync) {
+        let in_scope = |id: &NameHash| sync.scope.is_some_and(|scope| scope == *id);
+        for (_, managed) in self.pools.iter_mut().filter(|(id, _)| in_scope(id)) {
+            let Phase::Rebuilding(rebuild) = &mut managed.phase else {
                 continue;
             };
             let next = rebuild.missing.get_mut(&from);
@@ -163,42 +181,49 @@
         }
     }
 
-    /// Goes on with learning what earlier homes of a pool granted.
-    pub(super) fn rebuild(&mut self, context: &Context, post: &mut Post, id: Id) {
-        let Some(seat) = self.seats.get_mut(&id) else {
+    /// Continues to collect the permits granted by earlier homes of a pool, and
+    /// starts to grant when that is complete or has timed out.
+    pub(super) fn advance_rebuild(
+        &mut self,
+        context: &Context,
+        transport: &mut Transport,
+        id: NameHash,
+    ) {
+        let Some(managed) = self.pools.get_mut(&id) else {
             return;
         };
-        let Phase::Rebuilding(rebuild) = &mut seat.phase else {
+        let Phase::Rebuilding(rebuild) = &mut managed.phase else {
             return;
         };
         if rebuild.missing.is_empty() || context.now >= rebuild.until {
-            self.serve(context, post, id);
+            self.serve(context, transport, id);
             return;
         }
         if context.now >= rebuild.next_claim {
-            rebuild.next_claim = context.now + CLAIM_PERIOD;
+            rebuild.next_claim = context.now + CLAIM_INTERVAL;
             for entry in rebuild.missing.keys() {
-                post.reply(*entry, Urgency::Now, Reply::Claim(id));
+                transport.send_reply(*entry, Urgency::Now, Reply::Claim(id));
             }
         }
     }
 
-    /// Begins to grant.
-    fn serve(&mut self, context: &Context, post: &mut Post, id: Id) {
-        let Some(seat) = self.seats.get_mut(&id) else {
+    /// Starts to grant permits.
+    fn serve(&mut self, context: &Context, transport: &mut Transport, id: NameHash) {
+        let Some(managed) = self.pools.get_mut(&id) else {
             return;
         };
-        let phase = std::mem::replace(&mut seat.phase, Phase::Serving);
+        let phase = std::mem::replace(&mut managed.phase, Phase::Serving);
         let Phase::Rebuilding(rebuild) = phase else {
             return;
         };
-        // The highest tier first, so that no free slot goes to a lower one.
+        // The highest tier goes first, so that no free slot is given to a lower
+        // one.
         let mut waiting = rebuild.waiting;
         waiting.sort_by_key(|waiter| (waiter.ask.tier, waiter.ask.deadline));
         let mut decisions = Vec::new();
         for waiter in waiting {
-            seat.pool.ask(context.now, waiter, &mut decisions);
+            managed.pool.ask(context.now, waiter, &mut decisions);
         }
-        self.carry_out(post, id, decisions);
+        self.apply_decisions(transport, id, decisions);
     }
 }
--- a/crates/core/src/permit/message.rs
+++ b/crates/core/src/permit/message.rs
@@ -1,77 +1,80 @@
-//! Messages by which places are asked for, granted and given back.
+//! Messages for requesting, granting and releasing permits.
 //!
-//! The asking side drives: it repeats what was not answered, so that a home
-//! keeps no timers for its answers. An ask is named by a number that its entry
-//! draws once; the permit that answers it has the same number, so that an old
-//! grant can never serve a newer ask.
+//! The requesting entry drives the exchange: it retransmits whatever was not
+//! answered, so that a home needs no timers for its replies. Each permit request
+//! has a number that its entry uses only once, and the permit that answers it
+//! has the same number. A delayed grant can therefore never be mistaken for the
+//! answer to a newer request.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 use crate::control::event::{Done, Outcome};
 use crate::name;
-use crate::permit::Id;
+use crate::permit::NameHash;
 use crate::tier::Tier;
 
-/// What one entry says to another at one moment, in both of its roles.
+/// A message between two entries. It carries what the sender has to say both as
+/// a requesting entry and as a home.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Which message of the sender this is.
-    pub sent: Stamp,
-    /// The newest message of the receiver that the sender has seen.
-    pub seen: Stamp,
-    /// From a request's entry to its pool's home.
+    /// Identifies this message among those of the sender to the receiver.
+    pub id: MessageId,
+    /// The newest message from the receiver that the sender has received.
+    pub acked: MessageId,
+    /// Calls from a requesting entry to a pool's home.
     pub calls: Vec<Call>,
-    /// From a pool's home to a request's entry.
+    /// Replies from a pool's home to a requesting entry.
     pub replies: Vec<Reply>,
 }
 
-/// Counts the messages from one entry to another.
+/// Orders the messages from one entry to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Stamp {
-    /// Counts the restarts of the sender's control branch.
+pub struct MessageId {
+    /// Incremented by each restart of the sender's control branch.
     pub generation: u32,
-    /// Counts the messages since then, from 1.
+    /// Sequence number within the generation, starting at 1.
     pub number: u32,
 }
 
-/// From a request's entry to its pool's home.
+/// A call from a requesting entry to a pool's home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// Asks for a place.
-    Ask(Ask),
-    /// A request no longer waits, nor holds a place.
-    End(End),
-    /// What the sender waits for and holds, to be compared.
+    /// Requests a permit.
+    Acquire(Acquire),
+    /// Withdraws a permit request or returns a permit.
+    Release(Release),
+    /// Summarises the sender's requests and permits, for comparison.
     Digest(Digest),
-    /// What the sender waits for and holds, in full.
+    /// Lists the sender's requests and permits in full.
     Sync(Sync),
-    /// How a loan was used.
+    /// Reports the use of a loan.
     Usage(Usage),
 }
 
-/// Asks for a place.
+/// A request for a permit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    /// The number of the ask and of its permit.
+pub struct Acquire {
+    /// The number of the request and of the permit that answers it.
     pub permit: u64,
     /// The pool.
-    pub pool: Id,
-    /// Who asks.
+    pub pool: NameHash,
+    /// The workspace, tier and class that request the permit.
     pub profile: Profile,
     /// The class's weight within the workspace.
     pub weight: u64,
-    /// Milliseconds until the class's latency target passes; negative: since.
+    /// Milliseconds left until the class's latency target passes; negative if it
+    /// has passed.
     pub slack: i64,
-    /// Endpoints that failed this request already.
-    pub avoid: Vec<Id>,
-    /// Hash of the prompt's start; 0 for none.
+    /// Endpoints that have already failed this request.
+    pub avoid: Vec<NameHash>,
+    /// Hash of the start of the prompt, or 0 if there is none.
     pub prefix: u32,
-    /// Hash of workspace and identity; 0 for none.
+    /// Hash of workspace and identity, or 0 if there is no identity.
     pub identity: u64,
 }
 
-/// What shares and order go by.
+/// The properties of a request that determine its fair share and its order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
     /// The workspace.
@@ -82,30 +85,30 @@
     pub class: name::Class,
 }
 
-/// The end of an ask or of a permit.
+/// The end of a permit request or of a permit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
-    /// The number.
+pub struct Release {
+    /// The number of the request or permit.
     pub permit: u64,
-    /// What became of it.
+    /// The result of the run.
     pub result: Run,
 }
 
-/// How a run went.
+/// The result of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// How it ended.
+    /// How the run ended.
     pub outcome: Outcome,
-    /// Tokens (or calls) that the endpoint produced.
+    /// Number of tokens (or calls) that the endpoint produced.
     pub tokens: u64,
-    /// From dispatch to the first token, if one came.
+    /// Time from dispatch to the first token, if there was one.
     pub first_token: Option<Millis>,
-    /// From dispatch to the end.
+    /// Time from dispatch to the end.
     pub elapsed: Millis,
 }
 
 impl Run {
-    /// The end in the form that pools take.
+    /// Converts the result into the event that pools take.
     pub fn done(self, request: name::Request, permit: u64) -> Done {
         Done {
             request,
@@ -117,8 +120,9 @@
         }
     }
 
-    /// A run that never was: the ask was withdrawn, or its grant not used.
-    pub const NONE: Self = Self {
+    /// The result of a run that never started: the request was withdrawn or its
+    /// grant was not used.
+    pub const UNUSED: Self = Self {
         outcome: Outcome::Cancelled,
         tokens: 0,
         first_token: None,
@@ -126,148 +130,155 @@
     };
 }
 
-/// A short form of what an entry waits for and holds at one home.
+/// A checksum of an entry's requests and permits at one home.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// How many asks and permits.
+    /// The number of requests and permits.
     pub count: u32,
-    /// The sum of their hashes.
+    /// The wrapping sum of their hashes.
     pub hash: u32,
 }
 
 impl Digest {
-    /// Adds an ask that the home said it keeps, or a permit.
+    /// Adds a request that the home has confirmed as queued, or a permit.
     pub fn add(&mut self, permit: u64, held: bool) {
         self.count += 1;
-        self.hash = self.hash.wrapping_add(mix(permit, held));
+        self.hash = self.hash.wrapping_add(hash_permit(permit, held));
     }
 }
 
-/// Spreads a number over 32 bits (the finaliser of `SplitMix64`).
-fn mix(permit: u64, held: bool) -> u32 {
-    let mut word = (permit << 1 | u64::from(held)).wrapping_add(0x9e37_79b9_7f4a_7c15);
-    word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    u32::try_from((word ^ (word >> 31)) >> 32).unwrap_or(u32::MAX)
+/// Hashes a number to 32 bits with the finaliser of `SplitMix64`.
+fn hash_permit(permit: u64, held: bool) -> u32 {
+    let mut hash = (permit << 1 | u64::from(held)).wrapping_add(0x9e37_79b9_7f4a_7c15);
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    u32::try_from((hash ^ (hash >> 31)) >> 32).unwrap_or(u32::MAX)
 }
 
-/// All that the sender waits for and holds at the receiver, within a range of numbers.
+/// The sender's requests and permits at the receiver, within a range of numbers.
 ///
-/// What the receiver knows of the sender within scope and range and is not
-/// listed has ended.
+/// Any request or permit of the sender that the receiver knows, that lies within
+/// the scope and the range and that is not listed, has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sync {
-    /// One pool, or all of the receiver's.
-    pub scope: Option<Id>,
+    /// The only pool that is covered, or `None` for all pools of the receiver.
+    pub scope: Option<NameHash>,
     /// The first number of the range.
     pub from: u64,
-    /// The last number of the range.
+    /// The last number of the range, inclusive.
     pub to: u64,
-    /// Asks without an answer.
+    /// Requests that have not been granted.
     pub waiting: Vec<u64>,
-    /// Permits.
-    pub held: Vec<Held>,
+    /// Permits in use.
+    pub held: Vec<HeldPermit>,
 }
 
 /// A permit in use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    /// Its number.
+pub struct HeldPermit {
+    /// The number of the permit.
     pub permit: u64,
     /// The pool.
-    pub pool: Id,
+    pub pool: NameHash,
     /// The endpoint.
-    pub endpoint: Id,
-    /// Who holds it.
+    pub endpoint: NameHash,
+    /// The workspace, tier and class that hold the permit.
     pub profile: Profile,
-    /// Hash of workspace and identity; 0 for none.
+    /// Hash of workspace and identity, or 0 if there is no identity.
     pub identity: u64,
 }
 
-/// How a loan was used since the last report.
+/// The use of a loan since the last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// The pool.
-    pub pool: Id,
-    /// The loan.
+    pub pool: NameHash,
+    /// The number of the loan.
     pub loan: u32,
-    /// Places that the borrower keeps, by endpoint; it gave back all others.
-    pub keep: Vec<(Id, u32)>,
-    /// What the records refer to.
+    /// Slots that the borrower keeps, by endpoint. It has returned all others.
+    pub kept_slots: Vec<(NameHash, u32)>,
+    /// The profiles that the records refer to.
     pub profiles: Vec<Profile>,
-    /// Runs that ended.
-    pub records: Vec<Record>,
-    /// Runs that go on as permits, now that the loan is over.
-    pub held: Vec<Held>,
-    /// The loan is over; earlier messages may carry more of [`Self::held`].
-    pub over: bool,
+    /// Runs that have ended.
+    pub records: Vec<RunRecord>,
+    /// Runs that continue as ordinary permits after the end of the loan.
+    pub held: Vec<HeldPermit>,
+    /// Whether the loan has ended. Earlier messages may carry further parts of
+    /// [`Self::held`].
+    pub finished: bool,
 }
 
-/// A run under a loan that ended.
+/// A run under a loan that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct RunRecord {
     /// An index into [`Usage::profiles`].
     pub profile: u32,
     /// The endpoint.
-    pub endpoint: Id,
-    /// How it went.
+    pub endpoint: NameHash,
+    /// The result of the run.
     pub result: Run,
 }
 
-/// From a pool's home to a request's entry.
+/// A reply from a pool's home to a requesting entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// A place.
+    /// Grants a permit.
     Grant(Grant),
-    /// The home keeps the ask.
+    /// The request with this number is queued at the home.
     Queued(u64),
-    /// The waiting list is full; come back after the span.
+    /// The queue is full: the request with this number may be retried after this
+    /// time.
     Shed(u64, Millis),
-    /// No endpoint of the pool takes work.
+    /// No endpoint of the pool accepts work.
     NoEndpoint(u64),
-    /// The sender is not home to the pool; this entry is, as far as it knows.
+    /// The sender is not the pool's home. The second field names the home that
+    /// the sender knows, if any.
     NotHome(u64, Option<name::Incarnation>),
-    /// Another request with the same identity waits or runs at this entry.
-    Elsewhere(u64, name::Incarnation),
-    /// The home does not know the ask that it is said to keep.
+    /// Another request with the same identity is waiting or running at this
+    /// entry.
+    IdentityInUse(u64, name::Incarnation),
+    /// The home does not know this request, although the entry reported it as
+    /// queued.
     Unknown(u64),
-    /// The digest in the message with this number was right.
-    Agreed(u32),
-    /// A digest was wrong: send a [`Sync`] of everything.
+    /// The digest in the message with this number matched.
+    DigestMatched(u32),
+    /// A digest did not match: send a [`Sync`] of all pools.
     Resync,
-    /// The sender is now home to this pool: send a [`Sync`] of it.
-    Claim(Id),
-    /// Places to use without asking.
+    /// The sender is now the home of this pool: send a [`Sync`] of it.
+    Claim(NameHash),
+    /// Lends slots.
     Loan(Loan),
-    /// This loan of a pool is to end now.
-    Recall(Id, u32),
+    /// Ends this loan of a pool immediately.
+    Recall(NameHash, u32),
 }
 
-/// A place at an endpoint.
+/// A permit to use one slot of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The number of the ask.
+    /// The number of the request.
     pub permit: u64,
     /// The endpoint.
-    pub endpoint: Id,
-    /// The priority inside the engine, 0 (first) to 9 (last).
+    pub endpoint: NameHash,
+    /// The priority inside the engine, from 0 (first) to 9 (last).
     pub priority: u8,
-    /// Others wait for the place: give it back without delay.
+    /// Whether the pool is contended; the permit must then be returned without
+    /// delay.
     pub contended: bool,
 }
 
-/// Places to use without asking, as many at a time as the loan names.
+/// Slots that an entry may use without requesting permits, up to the stated
+/// number at a time.
 ///
-/// Each message states the whole loan, in place of what was stated before.
+/// Each message states the complete loan and replaces what was stated before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loan {
     /// The pool.
-    pub pool: Id,
-    /// Tells this loan from earlier ones of the same home.
+    pub pool: NameHash,
+    /// Distinguishes this loan from earlier ones of the same home.
     pub loan: u32,
-    /// How long it lasts, from the sending of the newest message that
-    /// [`Message::seen`] names.
-    pub life: Millis,
-    /// How many places at which endpoint.
-    pub places: Vec<(Id, u32)>,
+    /// How long the loan lasts, counted from when the borrower sent the message
+    /// that [`Message::acked`] names.
+    pub lifetime: Millis,
+    /// The number of slots at each endpoint.
+    pub slots: Vec<(NameHash, u32)>,
 }
--- a/crates/core/src/permit/topology.rs
+++ b/crates/core/src/permit/topology.rs
@@ -1,4 +1,4 @@
-//! Which pools there are, who is home to each, and what short names stand for.
+//! The known pools, their homes, and the names behind the hashes in messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,48 +6,48 @@
 use crate::control::directory::Endpoint;
 use crate::membership::Members;
 use crate::name;
-use crate::permit::Id;
+use crate::permit::NameHash;
 
-/// One pool as this entry sees it.
+/// A pool as this entry sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// The pool.
+pub struct PoolInfo {
+    /// The name of the pool.
     pub pool: name::Pool,
-    /// Its home; none while no entry takes part.
+    /// The incarnation of its home, or `None` while no entry is active.
     pub home: Option<name::Incarnation>,
-    /// Its endpoints, usable or not.
+    /// Its endpoints, whether usable or not.
     pub endpoints: Vec<name::Endpoint>,
 }
 
-/// All pools, from the directory and the members.
+/// All pools, derived from the directory and the members.
 #[derive(Clone, Debug, Default)]
 pub struct Topology {
-    places: BTreeMap<Id, Place>,
-    targets: BTreeMap<name::Target, Vec<Id>>,
-    endpoints: BTreeMap<Id, name::Endpoint>,
+    pools: BTreeMap<NameHash, PoolInfo>,
+    targets: BTreeMap<name::Target, Vec<NameHash>>,
+    endpoints: BTreeMap<NameHash, name::Endpoint>,
 }
 
 impl Topology {
-    /// Looks at the directory again: pools and endpoints may have come and gone.
+    /// Rebuilds the pools and endpoints from the directory.
     pub fn update_pools(&mut self, directory: &Directory, members: &Members) {
-        let mut places: BTreeMap<Id, Place> = BTreeMap::new();
-        let mut targets: BTreeMap<name::Target, BTreeSet<Id>> = BTreeMap::new();
+        let mut pools: BTreeMap<NameHash, PoolInfo> = BTreeMap::new();
+        let mut targets: BTreeMap<name::Target, BTreeSet<NameHash>> = BTreeMap::new();
         self.endpoints.clear();
         for endpoint in directory.iter() {
             self.endpoints
-                .insert(Id::of_endpoint(&endpoint.name), endpoint.name.clone());
-            for pool in pools(endpoint) {
-                let id = Id::of_pool(&pool);
+                .insert(NameHash::of_endpoint(&endpoint.name), endpoint.name.clone());
+            for pool in pools_of(endpoint) {
+                let id = NameHash::of_pool(&pool);
                 targets.entry(pool.target.clone()).or_default().insert(id);
-                let place = places.entry(id).or_insert_with(|| Place {
+                let info = pools.entry(id).or_insert_with(|| PoolInfo {
                     home: None,
                     pool,
                     endpoints: Vec::new(),
                 });
-                place.endpoints.push(endpoint.name.clone());
+                info.endpoints.push(endpoint.name.clone());
             }
         }
-        self.places = places;
+        self.pools = pools;
         self.targets = targets
             .into_iter()
             .map(|(target, ids)| (target, ids.into_iter().collect()))
@@ -55,54 +55,51 @@
         self.update_homes(members);
     }
 
-    /// Looks at the members again: homes may have moved.
+    /// Recomputes the home of each pool from the members.
     pub fn update_homes(&mut self, members: &Members) {
-        for place in self.places.values_mut() {
-            let home = members.home(&place.pool);
-            place.home = home.map(|member| member.incarnation);
+        for info in self.pools.values_mut() {
+            let home = members.home(&info.pool);
+            info.home = home.map(|member| member.incarnation);
         }
     }
 
     /// Whether no pool is known.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.pools.is_empty()
     }
 
-    /// A pool by its short name.
-    pub fn pool(&self, id: Id) -> Option<&Place> {
-        self.places.get(&id)
+    /// Returns a pool by its hash.
+    pub fn pool(&self, id: NameHash) -> Option<&PoolInfo> {
+        self.pools.get(&id)
     }
 
-    /// A pool's home.
-    pub fn home(&self, id: Id) -> Option<name::Incarnation> {
-        self.places.get(&id)?.home
+    /// Returns the home of a pool.
+    pub fn home(&self, id: NameHash) -> Option<name::Incarnation> {
+        self.pools.get(&id)?.home
     }
 
-    /// All pools with their short names.
-    pub fn pools(&self) -> impl Iterator<Item = (Id, &Place)> {
-        self.places.iter().map(|(id, place)| (*id, place))
+    /// Iterates over all pools with their hashes.
+    pub fn pools(&self) -> impl Iterator<Item = (NameHash, &PoolInfo)> {
+        self.pools.iter().map(|(id, info)| (*id, info))
     }
 
-    /// The pools that serve a target.
-    pub fn of_target(&self, target: &name::Target) -> &[Id] {
+    /// Returns the pools that serve a target.
+    pub fn pools_for_target(&self, target: &name::Target) -> &[NameHash] {
         self.targets.get(target).map_or(&[], Vec::as_slice)
     }
 
-    /// An endpoint by its short name.
-    pub fn endpoint(&self, id: Id) -> Option<&name::Endpoint> {
+    /// Returns the name of an endpoint by its hash.
+    pub fn endpoint(&self, id: NameHash) -> Option<&name::Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// A pool's endpoints that may get new work.
-    pub fn usable<'a>(
+    /// Iterates over the endpoints of a pool that may get new work.
+    pub fn usable_endpoints<'a>(
         &'a self,
-        id: Id,
+        id: NameHash,
         directory: &'a Directory,
     ) -> impl Iterator<Item = &'a Endpoint> {
-        let names = self
-            .places
-            .get(&id)
-            .map_or(&[][..], |place| &place.endpoints);
+        let names = self.pools.get(&id).map_or(&[][..], |info| &info.endpoints);
         names
             .iter()
             .filter_map(|name| directory.get(name))
@@ -110,8 +107,8 @@
     }
 }
 
-/// The pools to which an endpoint belongs.
-fn pools(endpoint: &Endpoint) -> impl Iterator<Item = name::Pool> {
+/// Returns the pools to which an endpoint belongs.
+fn pools_of(endpoint: &Endpoint) -> impl Iterator<Item = name::Pool> {
     endpoint.targets.iter().map(|target| name::Pool {
         target: target.clone(),
         data_centre: endpoint.data_centre.clone(),
--- a/crates/core/tests/permits.rs
+++ b/crates/core/tests/permits.rs
@@ -1,4 +1,4 @@
-//! The permit protocol between several entries, under faults.
+//! Tests the permit protocol between several entries under faults.
 
 #[path = "permits/faults.rs"]
 mod faults;
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use network::{CALM, Fate, Leftovers, Network, Request, STORM};
+use network::{LOSSY, Leftovers, Network, RELIABLE, Request, Status};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -18,18 +18,21 @@
 use woodgap_core::permit::message::{Call, Message, Reply};
 
 const ENTRIES: usize = 6;
-const CENTRES: usize = 3;
+const DATA_CENTRES: usize = 3;
 const SLOTS: u32 = 4;
 
-/// Six entries and six engines in three data centres.
+/// Creates six entries and six engines in three data centres.
 fn network(seed: u64) -> Network {
-    Network::new(seed, ENTRIES, 6, CENTRES, SLOTS)
+    Network::new(seed, ENTRIES, 6, DATA_CENTRES, SLOTS)
 }
 
-fn lose(when: fn(&Message) -> bool, mut times: usize) -> Box<dyn FnMut(&Message) -> bool> {
+fn drop_matching(
+    condition: fn(&Message) -> bool,
+    mut remaining: usize,
+) -> Box<dyn FnMut(&Message) -> bool> {
     Box::new(move |message| {
-        let lost = times > 0 && when(message);
-        times -= usize::from(lost);
+        let lost = remaining > 0 && condition(message);
+        remaining -= usize::from(lost);
         lost
     })
 }
@@ -43,30 +46,30 @@
     message
         .calls
         .iter()
-        .any(|call| matches!(call, Call::End(_)))
+        .any(|call| matches!(call, Call::Release(_)))
 }
 
 fn settles(message: &Message) -> bool {
-    let over = |call: &Call| matches!(call, Call::Usage(usage) if usage.over);
-    message.calls.iter().any(over)
+    let finished = |call: &Call| matches!(call, Call::Usage(usage) if usage.finished);
+    message.calls.iter().any(finished)
 }
 
 fn nothing(_: &mut Network) {}
 
-fn storm(network: &mut Network) {
-    network.weather = STORM;
+fn lossy_network(network: &mut Network) {
+    network.conditions = LOSSY;
 }
 
 fn grants_lost(network: &mut Network) {
-    network.filter = lose(grants, 20);
+    network.drop_filter = drop_matching(grants, 20);
 }
 
 fn ends_lost(network: &mut Network) {
-    network.filter = lose(ends, 20);
+    network.drop_filter = drop_matching(ends, 20);
 }
 
 fn settlements_lost(network: &mut Network) {
-    network.filter = lose(settles, 20);
+    network.drop_filter = drop_matching(settles, 20);
 }
 
 fn home_killed(network: &mut Network) {
@@ -84,11 +87,12 @@
     let home = network.home(0, 0);
     network.freeze(home);
     network.load(6_000, 100, 3);
-    network.wake(home);
+    network.unfreeze(home);
 }
 
 fn home_paused(network: &mut Network) {
-    // Shorter than anyone takes to hold it to be gone.
+    // The pause is shorter than the time after which entries declare the home
+    // gone.
     let home = network.home(0, 0);
     network.pause(home);
     network.load(1_500, 100, 3);
@@ -110,37 +114,39 @@
     network.kill((home + 1) % ENTRIES);
 }
 
-fn two_homes(network: &mut Network) {
-    // Some see the home go, and then that it did not.
+fn home_suspected(network: &mut Network) {
+    // Some entries wrongly declare the home gone and later see that it is alive.
     let home = network.home(0, 0);
     for viewer in (0..ENTRIES).filter(|viewer| *viewer != home).take(3) {
-        network.see(viewer, home, Standing::Gone, 0, 300);
-        network.see(viewer, home, Standing::Live, 1_000, 2_000);
+        network.schedule_standing(viewer, home, Standing::Gone, 0, 300);
+        network.schedule_standing(viewer, home, Standing::Live, 1_000, 2_000);
     }
 }
 
-fn parted(network: &mut Network) {
+fn partitioned(network: &mut Network) {
     network.part(&[0, 1, 2]);
     network.load(8_000, 100, 3);
-    network.merge_all();
+    network.heal_partitions();
 }
 
-fn cut_off(network: &mut Network) {
-    // Two entries lose each other's messages; both live in the eyes of all.
+fn link_blocked(network: &mut Network) {
+    // Messages between two entries are lost in both directions, while all
+    // entries still consider both alive.
     let home = network.home(0, 0);
     let other = (home + 3) % ENTRIES;
-    network.cut_off(home, other);
+    network.block_link(home, other);
     network.load(5_000, 100, 3);
-    network.merge_all();
+    network.heal_partitions();
 }
 
-/// Every ask has its end, and when all has come to rest nothing is held. The
-/// last column bounds the requests above an engine's slots: none while the home
-/// stays; its slots once more for the fractions that entries use while they reach
-/// no home; and once more for each other entry that acts as home meanwhile.
+/// Every request ends, and no permit is held after the network has settled. The
+/// last column bounds the number of requests above an engine's slots, in
+/// multiples of its slots: 0 while the home stays; 1 for the local shares that
+/// entries use while they reach no home; and 1 more for each other entry that
+/// acts as home in the meantime.
 #[rstest]
-#[case::calm(nothing, 0)]
-#[case::storm(storm, 0)]
+#[case::no_fault(nothing, 0)]
+#[case::lossy_network(lossy_network, 0)]
 #[case::grants_lost(grants_lost, 0)]
 #[case::ends_lost(ends_lost, 0)]
 #[case::settlements_lost(settlements_lost, 0)]
@@ -150,10 +156,10 @@
 #[case::home_killed(home_killed, 1)]
 #[case::home_killed_twice(home_killed_twice, 1)]
 #[case::home_paused(home_paused, 1)]
-#[case::cut_off(cut_off, 1)]
+#[case::link_blocked(link_blocked, 1)]
 #[case::home_frozen(home_frozen, 2)]
-#[case::two_homes(two_homes, 2)]
-#[case::parted(parted, 2)]
+#[case::home_suspected(home_suspected, 2)]
+#[case::partitioned(partitioned, 2)]
 fn recovers(
     #[case] fault: fn(&mut Network),
     #[case] bound: usize,
@@ -164,26 +170,32 @@
     network.load(4_000, rate, 3);
     fault(&mut network);
     network.load(6_000, rate, 3);
-    network.weather = CALM;
+    network.conditions = RELIABLE;
     network.run(20_000);
     assert_eq!(network.leftovers(), Leftovers::default());
-    let over = network.overbooked();
-    assert!(over <= bound * SLOTS as usize, "{over} above the slots");
+    let over = network.max_excess_runs();
+    assert!(
+        over <= bound * SLOTS as usize,
+        "{over} requests above the slots"
+    );
 }
 
 /// While no message is lost, no request is shed while a lower tier waits at the
-/// same homes, but for the one of each class that is next for its share.
+/// same homes, except for the next request of each class under its fair share.
 #[rstest]
 fn sheds_the_lowest_tier(#[values(150, 300)] rate: u64, #[values(1, 2, 3)] seed: u64) {
     let mut network = network(seed);
     let mut refused = BTreeSet::new();
     for _ in 0..400 {
         network.load(50, rate, 3);
-        let (now, waits) = (network.now, |state: &Request| state.fate == Fate::Waiting);
-        // What asked this long ago was at a home when the last ones were shed.
-        let settled = |state: &Request| waits(state) && now >= state.asked + Millis(300);
+        let (now, waits) = (network.now, |state: &Request| {
+            state.status == Status::Waiting
+        });
+        // A request this old had reached a home by the time of the latest
+        // sheddings.
+        let settled = |state: &Request| waits(state) && now >= state.asked_at + Millis(300);
         for (request, state) in &network.requests {
-            if !matches!(state.fate, Fate::Refused(_)) || !refused.insert(*request) {
+            if !matches!(state.status, Status::Refused(_)) || !refused.insert(*request) {
                 continue;
             }
             let lower = network
@@ -191,21 +203,22 @@
                 .values()
                 .filter(|other| other.tier > state.tier);
             let passed_over = lower.filter(|other| settled(other)).count();
-            let next_for_share = CENTRES * usize::from(3 - state.tier);
+            let next_for_share = DATA_CENTRES * usize::from(3 - state.tier);
             assert!(
                 passed_over <= next_for_share,
-                "{passed_over} of lower tiers wait"
+                "{passed_over} requests of lower tiers are waiting"
             );
         }
     }
     assert!(!refused.is_empty());
 }
 
-/// Bytes of a datagram beside its messages: the frame's header and code, and the
-/// headers of IP and UDP.
-const DATAGRAM: usize = 41 + 28;
+/// Bytes of a datagram apart from its messages: the frame's header and
+/// authentication code (41), and the IP and UDP headers (28).
+const DATAGRAM_OVERHEAD: usize = 41 + 28;
 
-/// Bytes of all entries for each request, with all headers.
+/// Returns the bytes sent by all entries for each request, including all
+/// headers.
 fn bytes_per_request(rate: u64, service: (u64, u64)) -> usize {
     let mut network = Network::new(1, ENTRIES, 6, 1, 16);
     network.service = service;
@@ -214,78 +227,75 @@
     let before = network.requests.len();
     network.load(30_000, rate, 3);
     let (bytes, messages) = network.sent;
-    (bytes + messages * DATAGRAM) / (network.requests.len() - before)
+    (bytes + messages * DATAGRAM_OVERHEAD) / (network.requests.len() - before)
 }
 
-/// At 35 requests a second and entry, the budget of 11 KB a second leaves 314
-/// bytes for a request; membership and configuration need their part of them.
+/// At 35 requests per second and entry, the budget of 11 KB per second leaves
+/// 314 bytes for each request, part of which membership and configuration need.
 #[test]
 fn spends_few_bytes() {
     let lent = bytes_per_request(210, (50, 150));
     let contended = bytes_per_request(210, (300, 620));
-    assert!(
-        lent <= 60,
-        "{lent} bytes for a request while places are lent"
-    );
-    assert!(
-        contended <= 300,
-        "{contended} bytes for a contended request"
-    );
+    assert!(lent <= 60, "{lent} bytes per request while slots are lent");
+    assert!(contended <= 300, "{contended} bytes per contended request");
 }
 
-/// A schedule's steps: what happens, and how long the load goes on after it.
+/// A step of a schedule: a fault or a repair, after which the load continues for
+/// a given time.
 #[derive(Clone, Debug)]
 enum Step {
-    Calm,
-    Storm,
+    Reliable,
+    Lossy,
     Kill(usize),
     Freeze(usize),
-    Wake,
+    Unfreeze,
     Pause(usize),
     Part(usize),
-    Merge,
-    Mistake(usize, usize),
+    Heal,
+    FalseSuspicion(usize, usize),
     Withdraw(usize),
 }
 
 fn step() -> impl Strategy<Value = (Step, u64)> {
     let entry = 0..ENTRIES;
     let what = prop_oneof![
-        Just(Step::Calm),
-        Just(Step::Storm),
+        Just(Step::Reliable),
+        Just(Step::Lossy),
         entry.clone().prop_map(Step::Kill),
         entry.clone().prop_map(Step::Freeze),
-        Just(Step::Wake),
+        Just(Step::Unfreeze),
         entry.clone().prop_map(Step::Pause),
         (1..ENTRIES).prop_map(Step::Part),
-        Just(Step::Merge),
-        (entry.clone(), entry.clone()).prop_map(|(viewer, seen)| Step::Mistake(viewer, seen)),
+        Just(Step::Heal),
+        (entry.clone(), entry.clone())
+            .prop_map(|(viewer, seen)| Step::FalseSuspicion(viewer, seen)),
         entry.prop_map(Step::Withdraw),
     ];
     (what, 50..4_000_u64)
 }
 
-fn take(network: &mut Network, step: &Step) {
+fn apply(network: &mut Network, step: &Step) {
     match *step {
-        Step::Calm => network.weather = CALM,
-        Step::Storm => network.weather = STORM,
-        // One at least is left to serve.
+        Step::Reliable => network.conditions = RELIABLE,
+        Step::Lossy => network.conditions = LOSSY,
+        // Entry 0 stays up, so that at least one entry is left.
         Step::Kill(entry) if entry > 0 => network.kill(entry),
         Step::Freeze(entry) if entry > 0 => network.freeze(entry),
         Step::Pause(entry) => network.pause(entry),
-        Step::Wake => network.wake_all(),
+        Step::Unfreeze => network.unfreeze_all(),
         Step::Part(size) => network.part(&(0..size).collect::<Vec<_>>()),
-        Step::Merge => network.merge_all(),
-        Step::Mistake(viewer, seen) if viewer != seen => {
-            network.see(viewer, seen, Standing::Gone, 0, 100);
-            network.see(viewer, seen, Standing::Live, 500, 2_000);
+        Step::Heal => network.heal_partitions(),
+        Step::FalseSuspicion(viewer, seen) if viewer != seen => {
+            network.schedule_standing(viewer, seen, Standing::Gone, 0, 100);
+            network.schedule_standing(viewer, seen, Standing::Live, 500, 2_000);
         }
         Step::Withdraw(count) => network.withdraw_some(count),
-        Step::Kill(_) | Step::Freeze(_) | Step::Mistake(..) => {}
+        Step::Kill(_) | Step::Freeze(_) | Step::FalseSuspicion(..) => {}
     }
 }
 
-/// The same schedules in each run; more of them by `PROPTEST_CASES`.
+/// Runs the same schedules each time; `PROPTEST_CASES` sets a larger number of
+/// them.
 fn config() -> ProptestConfig {
     let default = ProptestConfig::default();
     ProptestConfig {
@@ -303,21 +313,25 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever happens, no request is granted twice for one ask (the network
-    /// checks each grant), engines run a bounded number above their slots, all
-    /// asks end, and all slots are free in the end.
+    /// For any schedule of faults, no permit is used twice (the network checks
+    /// each grant), the number of requests above an engine's slots is bounded,
+    /// all requests end, and all slots are free at the end.
     #[test]
     fn schedules(seed: u64, rate in 20..200_u64, steps in prop::collection::vec(step(), 1..8)) {
         let mut network = network(seed);
         for (step, span) in &steps {
-            take(&mut network, step);
+            apply(&mut network, step);
             network.load(*span, rate, 3);
         }
-        network.weather = CALM;
-        network.wake_all();
-        network.merge_all();
+        network.conditions = RELIABLE;
+        network.unfreeze_all();
+        network.heal_partitions();
         network.run(40_000);
         prop_assert_eq!(network.leftovers(), Leftovers::default());
-        prop_assert!(network.within_bound(), "{} above the slots", network.overbooked());
+        prop_assert!(
+            network.within_bound(),
+            "{} requests above the slots",
+            network.max_excess_runs()
+        );
     }
 }
--- a/crates/core/tests/permits/faults.rs
+++ b/crates/core/tests/permits/faults.rs
@@ -1,101 +1,119 @@
-//! What befalls the network: entries killed, frozen, cut off and misjudged.
+//! Faults in the simulated network: entries that are killed, frozen,
+//! disconnected or wrongly declared gone.
 
 use woodgap_core::membership::Standing;
 use woodgap_core::name;
 
-use crate::network::{Fate, Network, Request, What, incarnation};
+use crate::network::{Event, Network, Request, Status, incarnation};
 use woodgap_core::clock::Millis;
 
 impl Network {
-    /// An entry's process ends; so do its connections to engines.
+    /// Ends an entry's process and with it its connections to engines.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].alive = false;
         for engine in self.engines.values_mut() {
             engine.running.retain(|(holder, _)| *holder != node);
         }
         for (request, state) in &mut self.requests {
-            let open = matches!(state.fate, Fate::Waiting | Fate::Running);
+            let open = matches!(state.status, Status::Waiting | Status::Running);
             if request.incarnation == incarnation(node) && open {
-                state.fate = Fate::Lost;
+                state.status = Status::Lost;
             }
         }
-        self.others_see(node, Standing::Gone, 2_000, 3_000);
+        self.schedule_standing_for_others(node, Standing::Gone, 2_000, 3_000);
     }
 
-    /// An entry's process stops running, and the others notice.
+    /// Stops an entry's process for long enough that the others declare it gone.
     pub fn freeze(&mut self, node: usize) {
         self.pause(node);
-        self.others_see(node, Standing::Gone, 2_000, 3_000);
+        self.schedule_standing_for_others(node, Standing::Gone, 2_000, 3_000);
     }
 
-    /// An entry's process stops running, too short for anyone to notice.
+    /// Stops an entry's process without the others noticing.
     pub fn pause(&mut self, node: usize) {
         self.nodes[node].frozen = true;
     }
 
-    /// A paused entry runs again.
+    /// Resumes a paused entry.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].frozen = false;
-        for what in std::mem::take(&mut self.nodes[node].backlog) {
-            self.happen(what);
+        for event in std::mem::take(&mut self.nodes[node].backlog) {
+            self.process(event);
         }
     }
 
-    /// A frozen entry runs again, and the others notice.
-    pub fn wake(&mut self, node: usize) {
+    /// Resumes a frozen entry, after which the others see it alive again.
+    pub fn unfreeze(&mut self, node: usize) {
         if self.nodes[node].alive && self.nodes[node].frozen {
             self.resume(node);
-            // Later than the last that held it to be gone.
-            self.others_see(node, Standing::Live, 3_000, 4_000);
+            // Later than the last entry that declares it gone.
+            self.schedule_standing_for_others(node, Standing::Live, 3_000, 4_000);
         }
     }
 
-    /// All entries run again.
-    pub fn wake_all(&mut self) {
+    /// Resumes all entries.
+    pub fn unfreeze_all(&mut self) {
         for node in 0..self.nodes.len() {
-            self.wake(node);
+            self.unfreeze(node);
         }
     }
 
-    /// Two groups of entries no longer reach one another, and notice.
+    /// Partitions the entries into two groups, which then declare each other
+    /// gone.
     pub fn part(&mut self, left: &[usize]) {
         for one in 0..self.nodes.len() {
             for other in 0..self.nodes.len() {
                 if left.contains(&one) != left.contains(&other) {
-                    self.cut.insert((one, other));
-                    self.see(one, other, Standing::Gone, 2_000, 3_000);
+                    self.blocked_links.insert((one, other));
+                    self.schedule_standing(one, other, Standing::Gone, 2_000, 3_000);
                 }
             }
         }
     }
 
-    /// All entries reach one another again, and notice.
-    pub fn merge_all(&mut self) {
-        for (one, other) in std::mem::take(&mut self.cut) {
-            self.see(one, other, Standing::Live, 3_000, 4_000);
+    /// Restores all links, after which the entries see each other alive again.
+    pub fn heal_partitions(&mut self) {
+        for (one, other) in std::mem::take(&mut self.blocked_links) {
+            self.schedule_standing(one, other, Standing::Live, 3_000, 4_000);
         }
     }
 
-    /// Two entries lose each other's messages, which nobody notices.
-    pub fn cut_off(&mut self, one: usize, other: usize) {
-        self.cut.extend([(one, other), (other, one)]);
+    /// Drops all messages between two entries without their standing being
+    /// affected.
+    pub fn block_link(&mut self, one: usize, other: usize) {
+        self.blocked_links.extend([(one, other), (other, one)]);
     }
 
-    /// One entry comes to see another in some standing, within a span from now.
-    pub fn see(&mut self, viewer: usize, seen: usize, standing: Standing, least: u64, most: u64) {
-        let delay = Millis(self.draw(least, most));
-        self.schedule(delay, What::See(viewer, seen, standing));
+    /// Schedules a change of the standing in which one entry sees another, after
+    /// a random delay between `least` and `most` milliseconds.
+    pub fn schedule_standing(
+        &mut self,
+        viewer: usize,
+        seen: usize,
+        standing: Standing,
+        least: u64,
+        most: u64,
+    ) {
+        let delay = Millis(self.random_between(least, most));
+        self.schedule(delay, Event::StandingChange(viewer, seen, standing));
     }
 
-    fn others_see(&mut self, seen: usize, standing: Standing, least: u64, most: u64) {
+    fn schedule_standing_for_others(
+        &mut self,
+        seen: usize,
+        standing: Standing,
+        least: u64,
+        most: u64,
+    ) {
         for viewer in (0..self.nodes.len()).filter(|viewer| *viewer != seen) {
-            self.see(viewer, seen, standing, least, most);
+            self.schedule_standing(viewer, seen, standing, least, most);
         }
     }
 
-    /// The callers of some waiting requests go away.
+    /// Withdraws up to `count` waiting requests, as if their callers had
+    /// disconnected.
     pub fn withdraw_some(&mut self, count: usize) {
-        let waiting = |(_, state): &(&name::Request, &Request)| state.fate == Fate::Waiting;
+        let waiting = |(_, state): &(&name::Request, &Request)| state.status == Status::Waiting;
         let found = self.requests.iter().filter(waiting).take(count);
         let found: Vec<name::Request> = found.map(|(request, _)| *request).collect();
         for request in found {
--- a/crates/core/tests/permits/network.rs
+++ b/crates/core/tests/permits/network.rs
@@ -1,4 +1,5 @@
-//! A network of entries and engines inside the test: seeded, in its own time.
+//! A simulated network of entries and engines, with a seeded random generator
+//! and its own clock.
 
 mod events;
 
@@ -12,144 +13,145 @@
 use woodgap_core::instance::{Instance, Role, State};
 use woodgap_core::membership::{Figures, Member, Members, Standing};
 use woodgap_core::name::{self, Incarnation};
-use woodgap_core::permit::{self, Agent, Id};
+use woodgap_core::permit::{self, Agent, NameHash};
 use woodgap_core::pool::{Limits, Pool};
 use woodgap_core::tier::Tier;
 
-/// The tick of the control thread.
+/// Interval between the ticks of the control thread, in milliseconds.
 const TICK: u64 = 50;
-/// The only model.
+/// The only model that the engines serve.
 const TARGET: &str = "m";
 /// The incarnation of the first entry.
-const FIRST: u64 = 100;
+const FIRST_INCARNATION: u64 = 100;
 
-/// One entry.
+/// A simulated entry.
 pub struct Node {
     agent: Agent,
     pub members: Members,
     directory: Directory,
     pub alive: bool,
     pub frozen: bool,
-    /// What happened to it while it was frozen.
-    pub backlog: Vec<What>,
-    /// What runs for it: request and engine by permit.
+    /// Events that arrived while the entry was frozen.
+    pub backlog: Vec<Event>,
+    /// The entry's runs: request and engine by permit.
     running: BTreeMap<u64, (name::Request, name::Endpoint)>,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
     slots: usize,
     pub running: BTreeSet<(usize, u64)>,
-    /// The most requests that ran at once.
+    /// The highest number of concurrent runs.
     peak: usize,
-    /// The most entries that were home to its pool at once.
+    /// The highest number of entries that were home of its pool at the same
+    /// time.
     homes: usize,
 }
 
-/// Something that will happen.
-pub enum What {
+/// A scheduled event.
+pub enum Event {
     Tick(usize),
     Deliver(usize, Incarnation, Box<permit::Message>),
     Finish(usize, u64),
-    See(usize, usize, Standing),
+    StandingChange(usize, usize, Standing),
 }
 
-/// How a request stands.
+/// The status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Status {
     Waiting,
     Running,
     Complete,
     Refused(Refusal),
     Elsewhere(Incarnation),
-    /// Its entry was killed, or its caller went away.
+    /// The entry was killed, or the caller disconnected.
     Lost,
 }
 
-/// One request as its caller sees it.
+/// A request as its caller sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub tier: u8,
-    pub asked: Millis,
-    pub granted: Option<Millis>,
-    /// Granted out of its entry's own fraction of the slots.
-    pub alone: bool,
-    pub fate: Fate,
+    pub asked_at: Millis,
+    pub granted_at: Option<Millis>,
+    /// Whether it was granted from its entry's own share of the slots.
+    pub degraded: bool,
+    pub status: Status,
 }
 
-/// How the network treats messages.
+/// How the network delivers messages.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct Conditions {
     loss: f64,
     duplicate: f64,
-    /// Milliseconds on the way, at least and at most.
+    /// Minimum and maximum delay, in milliseconds.
     delay: (u64, u64),
 }
 
-pub const CALM: Weather = Weather {
+pub const RELIABLE: Conditions = Conditions {
     loss: 0.0,
     duplicate: 0.0,
     delay: (1, 1),
 };
-pub const STORM: Weather = Weather {
+pub const LOSSY: Conditions = Conditions {
     loss: 0.1,
     duplicate: 0.1,
     delay: (1, 40),
 };
 
-/// What is left when all should have come to rest.
+/// What is still in use after the network should have settled.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Leftovers {
-    /// Requests without an end.
+    /// Requests that have not ended.
     requests: usize,
-    /// Asks and permits at brokers.
-    asks: usize,
+    /// Requests and permits at brokers.
+    permits: usize,
     /// Runs at engines.
     runs: usize,
-    /// Slots that are not free at homes, and asks that wait there.
+    /// Occupied slots and waiting requests at homes.
     slots: u32,
 }
 
 pub struct Network {
     pub now: Millis,
-    pub weather: Weather,
+    pub conditions: Conditions,
     pub requests: BTreeMap<name::Request, Request>,
     pub engines: BTreeMap<name::Endpoint, Engine>,
     pub nodes: Vec<Node>,
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Bytes of the messages sent, as postcard; and how many there were.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    /// Total size of the messages sent, encoded as postcard, and their number.
     pub sent: (usize, usize),
-    /// How long engines run a request.
+    /// Minimum and maximum duration of a run, in milliseconds.
     pub service: (u64, u64),
-    /// Drops messages that it says true to.
-    pub filter: Box<dyn FnMut(&permit::Message) -> bool>,
+    /// Drops the messages for which it returns true.
+    pub drop_filter: Box<dyn FnMut(&permit::Message) -> bool>,
     random: ChaCha8Rng,
-    agenda: BTreeMap<(Millis, u64), What>,
-    scheduled: u64,
+    events: BTreeMap<(Millis, u64), Event>,
+    events_scheduled: u64,
     sequence: u64,
 }
 
 pub fn incarnation(node: usize) -> Incarnation {
-    Incarnation(FIRST + node as u64)
+    Incarnation(FIRST_INCARNATION + node as u64)
 }
 
-fn node_of(life: Incarnation) -> usize {
-    usize::try_from(life.0 - FIRST).unwrap()
+fn node_of(incarnation: Incarnation) -> usize {
+    usize::try_from(incarnation.0 - FIRST_INCARNATION).unwrap()
 }
 
 fn peer(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::try_from(node).unwrap()))
 }
 
-fn centre(index: usize, centres: usize) -> name::DataCentre {
-    format!("dc{}", index % centres).into()
+fn data_centre(index: usize, data_centres: usize) -> name::DataCentre {
+    format!("dc{}", index % data_centres).into()
 }
 
-fn member(node: usize, centres: usize) -> Member {
+fn member(node: usize, data_centres: usize) -> Member {
     Member {
         name: format!("e{node}").into(),
         incarnation: incarnation(node),
-        data_centre: centre(node, centres),
+        data_centre: data_centre(node, data_centres),
         peer: peer(node),
         http: peer(node),
         standing: Standing::Live,
@@ -159,12 +161,12 @@
     }
 }
 
-fn instance(index: usize, centres: usize, slots: u32) -> Instance {
+fn instance(index: usize, data_centres: usize, slots: u32) -> Instance {
     Instance {
         name: format!("m{index}"),
         role: Role::Engine,
         address: peer(5_000 + index),
-        data_centre: centre(index, centres),
+        data_centre: data_centre(index, data_centres),
         state: State::Live,
         targets: vec![TARGET.into()],
         slots,
@@ -181,7 +183,7 @@
         tier: Tier::new(state.tier).unwrap(),
         class: "share-link".into(),
         weight: 1,
-        deadline: state.asked + Millis(500),
+        deadline: state.asked_at + Millis(500),
         avoid: Vec::new(),
         prefix: 0,
         identity,
@@ -189,10 +191,11 @@
 }
 
 impl Network {
-    /// Entries and engines, spread over data centres; all know one another.
-    pub fn new(seed: u64, entries: usize, engines: usize, centres: usize, slots: u32) -> Self {
+    /// Creates entries and engines that are distributed over the data centres.
+    /// All entries know each other.
+    pub fn new(seed: u64, entries: usize, engines: usize, data_centres: usize, slots: u32) -> Self {
         let list: Vec<Instance> = (0..engines)
-            .map(|index| instance(index, centres, slots))
+            .map(|index| instance(index, data_centres, slots))
             .collect();
         let engine = |instance: &Instance| {
             let engine = Engine {
@@ -205,23 +208,23 @@
         };
         let mut network = Self {
             now: Millis(1_000),
-            weather: CALM,
+            conditions: RELIABLE,
             requests: BTreeMap::new(),
             engines: list.iter().map(engine).collect(),
             nodes: Vec::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             sent: (0, 0),
             service: (50, 400),
-            filter: Box::new(|_| false),
+            drop_filter: Box::new(|_| false),
             random: ChaCha8Rng::seed_from_u64(seed),
-            agenda: BTreeMap::new(),
-            scheduled: 0,
+            events: BTreeMap::new(),
+            events_scheduled: 0,
             sequence: 0,
         };
         for node in 0..entries {
-            let mut members = Members::new(member(node, centres));
+            let mut members = Members::new(member(node, data_centres));
             for other in 0..entries {
-                members.put(member(other, centres));
+                members.put(member(other, data_centres));
             }
             let mut directory = Directory::default();
             directory.update(&list);
@@ -236,22 +239,22 @@
             });
         }
         for node in 0..entries {
-            network.act(node, Agent::directory_updated);
-            network.schedule(Millis(node as u64 % TICK), What::Tick(node));
+            network.with_agent(node, Agent::directory_updated);
+            network.schedule(Millis(node as u64 % TICK), Event::Tick(node));
         }
         network
     }
 
-    /// The entry that is home to a data centre's pool in the eyes of another.
+    /// Returns the home of a data centre's pool, as seen by an entry.
     pub fn home(&self, node: usize, index: usize) -> usize {
         let pool = name::Pool {
             target: TARGET.into(),
-            data_centre: centre(index, usize::MAX),
+            data_centre: data_centre(index, usize::MAX),
         };
         node_of(self.nodes[node].members.home(&pool).unwrap().incarnation)
     }
 
-    /// A caller sends a request to an entry, if that is up.
+    /// Sends a request to an entry, unless the entry is down or frozen.
     pub fn ask(&mut self, node: usize, tier: u8, identity: u64) -> Option<name::Request> {
         if !self.nodes[node].alive || self.nodes[node].frozen {
             return None;
@@ -263,28 +266,28 @@
         };
         let state = Request {
             tier,
-            asked: self.now,
-            granted: None,
-            alone: false,
-            fate: Fate::Waiting,
+            asked_at: self.now,
+            granted_at: None,
+            degraded: false,
+            status: Status::Waiting,
         };
         self.requests.insert(request, state);
         let ask = ask(request, &state, identity);
-        self.act(node, |agent, view, out| agent.acquire(view, ask, out));
+        self.with_agent(node, |agent, view, out| agent.acquire(view, ask, out));
         Some(request)
     }
 
-    /// The caller of a waiting request goes away.
+    /// Withdraws a waiting request, as if its caller had disconnected.
     pub fn withdraw(&mut self, request: name::Request) {
         let node = node_of(request.incarnation);
         if !self.nodes[node].frozen {
-            self.requests.get_mut(&request).unwrap().fate = Fate::Lost;
-            self.act(node, |agent, view, out| agent.withdraw(view, request, out));
+            self.requests.get_mut(&request).unwrap().status = Status::Lost;
+            self.with_agent(node, |agent, view, out| agent.withdraw(view, request, out));
         }
     }
 
-    /// The control branch of an entry ends and starts again; what runs goes on,
-    /// and what waits asks again.
+    /// Restarts the control branch of an entry. Running requests continue, and
+    /// waiting ones are submitted again.
     pub fn restart(&mut self, node: usize) {
         let running = &self.nodes[node].running;
         let held = running.iter().map(|(permit, (request, endpoint))| Held {
@@ -294,35 +297,37 @@
         });
         let held: Vec<Held> = held.collect();
         self.nodes[node].agent = Agent::new(incarnation(node), 2, &Limits::default());
-        self.act(node, Agent::directory_updated);
-        self.act(node, |agent, view, out| agent.restore(view, held, out));
+        self.with_agent(node, Agent::directory_updated);
+        self.with_agent(node, |agent, view, out| agent.restore(view, held, out));
         let waiting = self.requests.iter().filter(|(request, state)| {
-            request.incarnation == incarnation(node) && state.fate == Fate::Waiting
+            request.incarnation == incarnation(node) && state.status == Status::Waiting
         });
         let again: Vec<Ask> = waiting
             .map(|(request, state)| ask(*request, state, 0))
             .collect();
         for ask in again {
-            self.act(node, |agent, view, out| agent.acquire(view, ask, out));
+            self.with_agent(node, |agent, view, out| agent.acquire(view, ask, out));
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `span` milliseconds and processes all events that
+    /// are due.
     pub fn run(&mut self, span: u64) {
         let end = self.now + Millis(span);
-        while let Some(entry) = self.agenda.first_entry() {
+        while let Some(entry) = self.events.first_entry() {
             let at = entry.key().0;
             if at > end {
                 break;
             }
-            let what = entry.remove();
+            let event = entry.remove();
             self.now = at;
-            self.happen(what);
+            self.process(event);
         }
         self.now = end;
     }
 
-    /// Lets time pass under load: as many asks a second, at random entries and tiers.
+    /// Advances the clock by `span` milliseconds under load: `rate` requests per
+    /// second at random entries and in random tiers.
     pub fn load(&mut self, span: u64, rate: u64, tiers: u8) {
         for _ in 0..span * rate / 1_000 {
             self.run(1_000 / rate);
@@ -332,14 +337,14 @@
         }
     }
 
-    /// A number within a range.
-    pub fn draw(&mut self, least: u64, most: u64) -> u64 {
+    /// Returns a random number in an inclusive range.
+    pub fn random_between(&mut self, least: u64, most: u64) -> u64 {
         self.random.random_range(least..=most)
     }
 
-    /// What is left.
+    /// Counts what is still in use.
     pub fn leftovers(&self) -> Leftovers {
-        let open = |state: &&Request| matches!(state.fate, Fate::Waiting | Fate::Running);
+        let open = |state: &&Request| matches!(state.status, Status::Waiting | Status::Running);
         let alive = || self.nodes.iter().filter(|node| node.alive);
         let brokers = alive().map(|node| node.agent.broker());
         let pools = alive().flat_map(|node| node.agent.home().pools());
@@ -350,38 +355,40 @@
         let runs = self.engines.values().map(|engine| engine.running.len());
         Leftovers {
             requests: self.requests.values().filter(open).count(),
-            asks: brokers
-                .map(|broker| broker.holding() + broker.waiting())
+            permits: brokers
+                .map(|broker| broker.active_permits() + broker.pending_requests())
                 .sum(),
             runs: runs.sum(),
             slots: pools.map(taken).sum(),
         }
     }
 
-    /// The most requests that ran at one engine above its slots.
-    pub fn overbooked(&self) -> usize {
+    /// Returns the highest number of requests that ran at any engine above its
+    /// slots.
+    pub fn max_excess_runs(&self) -> usize {
         let over = |engine: &Engine| engine.peak.saturating_sub(engine.slots);
         self.engines.values().map(over).max().unwrap()
     }
 
-    /// Whether no engine ever ran more than its slots for each entry that acted
-    /// as home at once, once more for what entries run that reach no home, and
-    /// once more for what entries run that were wrongly held to be gone.
+    /// Whether the runs at each engine stayed within a multiple of its slots:
+    /// once for each entry that acted as home at the same time, once for the
+    /// runs of entries that reached no home, and once for the runs of entries
+    /// that were wrongly declared gone.
     pub fn within_bound(&self) -> bool {
         let within = |engine: &Engine| engine.peak <= engine.slots * (engine.homes + 2);
         self.engines.values().all(within)
     }
 
-    /// The entries that hold themselves to be home to an engine's pool.
+    /// Counts the entries that consider themselves home of an engine's pool.
     fn homes(&self, engine: &name::Endpoint) -> usize {
         let is_home = |node: &&Node| {
-            let centre = &node.directory.get(engine).unwrap().data_centre;
+            let data_centre = &node.directory.get(engine).unwrap().data_centre;
             let pool = name::Pool {
                 target: TARGET.into(),
-                data_centre: centre.clone(),
+                data_centre: data_centre.clone(),
             };
             let mut pools = node.agent.home().pools();
-            node.alive && pools.any(|(id, _)| id == Id::of_pool(&pool))
+            node.alive && pools.any(|(id, _)| id == NameHash::of_pool(&pool))
         };
         self.nodes.iter().filter(is_home).count()
     }
