--- a/crates/core/benches/policy/sim.rs
+++ b/crates/core/benches/policy/sim.rs
@@ -9,7 +9,7 @@
 use woodgap_core::control::{Ask, Directory, Done, Outcome};
 use woodgap_core::instance::{Instance, Role, State};
 use woodgap_core::name;
-use woodgap_core::pool::SHARED;
+use woodgap_core::pool::MINIMUM_SHARE_PRIORITY;
 use woodgap_core::tier::Tier;
 
 use super::engine::{Engine, Job, Started};
@@ -199,7 +199,7 @@
         let arrival = &self.arrivals[index];
         let tier = self.take_off(index);
         self.shed.retain(|(at, _)| now - *at <= Millis(1_000));
-        if priority != SHARED {
+        if priority != MINIMUM_SHARE_PRIORITY {
             let before = self.shed.len();
             self.shed.retain(|(_, shed)| *shed >= tier);
             self.report.inversions += (before - self.shed.len()) as u64;
--- a/crates/core/benches/policy/traffic.rs
+++ b/crates/core/benches/policy/traffic.rs
@@ -107,9 +107,9 @@
     let tokens = source.tokens * (source.spread * normal(random)).exp();
     let prefix = match source.prefixes {
         0 => 0,
-        some => {
-            woodgap_core::pool::choice::mix(random.random_range(1..=some) + 1_000 * index as u64)
-        }
+        some => woodgap_core::pool::choice::splitmix64(
+            random.random_range(1..=some) + 1_000 * index as u64,
+        ),
     };
     Arrival {
         at: Millis(at as u64),
--- a/crates/core/src/permit/home/audit.rs
+++ b/crates/core/src/permit/home/audit.rs
@@ -138,7 +138,7 @@
         }
         let permit = lent.unwrap_or(ADOPTED | u64::from(drawn));
         if let Some(endpoint) = context.topology.endpoint(held.endpoint) {
-            let adopted = pool::Held {
+            let adopted = pool::ActiveRun {
                 request,
                 holder: from,
                 permit,
--- a/crates/core/src/permit/home/lending.rs
+++ b/crates/core/src/permit/home/lending.rs
@@ -168,7 +168,7 @@
         let Some(seat) = self.seats.get_mut(&id) else {
             return;
         };
-        if seat.loans.is_empty() || !seat.pool.waits() {
+        if seat.loans.is_empty() || !seat.pool.has_waiting() {
             return;
         }
         for (borrower, lent) in &mut seat.loans {
@@ -239,7 +239,7 @@
             if let (Some(profile), Some(permit)) = (profile, permit) {
                 let done = record.result.done(request(from, 0), *permit);
                 self.pool
-                    .learn(context.now, profile.tier, &profile.class, &done);
+                    .record_loan_run(context.now, profile.tier, &profile.class, &done);
             }
         }
     }
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -28,7 +28,7 @@
 mod upkeep;
 pub mod waiting;
 
-pub use decision::{Decision, Held, Loan, Waiter};
+pub use decision::{ActiveRun, Decision, Loan, Waiter};
 pub use limits::Limits;
 pub use stats::Stats;
 
@@ -44,7 +44,7 @@
 /// every tier, so that it preempts nothing. It is not starved, for a pool sends
 /// an endpoint no more than it has proved to run at once: see
 /// [`endpoint::Endpoint::limit`].
-pub const SHARED: u8 = Tier::LOWEST.number() + 1;
+pub const MINIMUM_SHARE_PRIORITY: u8 = Tier::LOWEST.number() + 1;
 
 /// The priority inside an engine, 0 first.
 ///
@@ -56,7 +56,11 @@
 /// assert_eq!(priority(Tier::HIGHEST, true), 8);
 /// ```
 pub fn priority(tier: Tier, shared: bool) -> u8 {
-    if shared { SHARED } else { tier.number() }
+    if shared {
+        MINIMUM_SHARE_PRIORITY
+    } else {
+        tier.number()
+    }
 }
 
 /// One pool: its waiting list and its endpoints' slots.
@@ -157,7 +161,7 @@
     }
 
     /// Takes a permit back. Idempotent: unknown permits are ignored. The end
-    /// of a run under a loan leaves the place lent; see [`Self::learn`].
+    /// of a run under a loan leaves the place lent; see [`Self::record_loan_run`].
     pub fn done(&mut self, now: Millis, done: &Done, out: &mut Vec<Decision>) {
         let place = self.places.get(done.permit);
         if place.is_some_and(|place| matches!(place.used, Use::Lent(_))) {
@@ -209,7 +213,7 @@
     }
 
     /// Whether somebody waits.
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
--- a/crates/core/src/pool/choice.rs
+++ b/crates/core/src/pool/choice.rs
@@ -259,7 +259,7 @@
     fn renew(&mut self, now: Millis, id: u32) {
         let endpoint = &self.list[id as usize];
         let room = endpoint.room(now);
-        let tie = mix(self.seed ^ u64::from(id));
+        let tie = splitmix64(self.seed ^ u64::from(id));
         let counted = Counted {
             place: (room > 0).then(|| (Tag(endpoint.load()), tie)),
             room,
@@ -300,7 +300,7 @@
 }
 
 /// Spreads the bits of a number (the finisher of `SplitMix64`).
-pub fn mix(number: u64) -> u64 {
+pub fn splitmix64(number: u64) -> u64 {
     let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/core/src/pool/decision.rs
+++ b/crates/core/src/pool/decision.rs
@@ -18,7 +18,7 @@
 
 /// A run that an earlier home of the pool granted and that still goes on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ActiveRun {
     /// The request.
     pub request: name::Request,
     /// The life of the entry that holds it.
--- a/crates/core/src/pool/dispatch.rs
+++ b/crates/core/src/pool/dispatch.rs
@@ -1,7 +1,7 @@
 //! Who is granted next, and who has to make room.
 
 use crate::clock::Millis;
-use crate::pool::choice::{Want, mix};
+use crate::pool::choice::{Want, splitmix64};
 use crate::pool::place::{Place, Run, Use};
 use crate::pool::reserve::LANES;
 use crate::pool::waiting::Entry;
@@ -186,7 +186,7 @@
     /// by a half each way so that callers do not come back all at once.
     fn retry_after(&self, now: Millis, number: u64) -> Millis {
         let rate = self.grants.per_ms(now).max(f64::MIN_POSITIVE);
-        let spread = 0.5 + (mix(number) % 1_000) as f64 / 1_000.0;
+        let spread = 0.5 + (splitmix64(number) % 1_000) as f64 / 1_000.0;
         let span = (self.waiting.len() as f64 / rate * spread).min(1e9);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let span = span as u64;
@@ -199,7 +199,7 @@
             return;
         }
         let since = *self.empty_since.get_or_insert(now);
-        if now - since < self.limits.patience {
+        if now - since < self.limits.no_endpoint_timeout {
             return;
         }
         for number in self.waiting.numbers() {
--- a/crates/core/src/pool/limits.rs
+++ b/crates/core/src/pool/limits.rs
@@ -16,7 +16,7 @@
     /// Load above the mean up to which equal prompts go to one endpoint; 1 for none.
     pub affinity: f64,
     /// How long requests wait for a first endpoint before they are refused.
-    pub patience: Millis,
+    pub no_endpoint_timeout: Millis,
 }
 
 impl Default for Limits {
@@ -27,7 +27,7 @@
             share_total: 0.2,
             reserve: 0.25,
             affinity: 2.0,
-            patience: Millis(2_000),
+            no_endpoint_timeout: Millis(2_000),
         }
     }
 }
--- a/crates/core/src/pool/place.rs
+++ b/crates/core/src/pool/place.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::pool::choice::mix;
+use crate::pool::choice::splitmix64;
 use crate::tier::Tier;
 
 /// How long an ended permit is remembered, so that a late or repeated message
@@ -71,7 +71,7 @@
     /// No places. Permits of different seeds differ in their high bits.
     pub fn new(seed: u64) -> Self {
         Self {
-            next: mix(seed) >> COUNTER_BITS << COUNTER_BITS,
+            next: splitmix64(seed) >> COUNTER_BITS << COUNTER_BITS,
             list: BTreeMap::new(),
             by_request: BTreeSet::new(),
             loans: BTreeSet::new(),
--- a/crates/core/src/pool/run.rs
+++ b/crates/core/src/pool/run.rs
@@ -5,7 +5,7 @@
 use crate::name;
 use crate::pool::class::Class;
 use crate::pool::place::{Place, Run, Use};
-use crate::pool::{Decision, Held, Pool, Waiter, priority};
+use crate::pool::{ActiveRun, Decision, Pool, Waiter, priority};
 use crate::tier::Tier;
 
 impl Pool {
@@ -15,7 +15,7 @@
         clippy::needless_pass_by_value,
         reason = "what is handed over is of no use to the caller any more"
     )]
-    pub fn adopt(&mut self, now: Millis, held: Held) {
+    pub fn adopt(&mut self, now: Millis, held: ActiveRun) {
         let known = self.places.get(held.permit);
         let runs = known.is_some_and(|place| matches!(place.used, Use::Run(_)));
         if runs || self.places.has_ended(held.permit) {
@@ -38,7 +38,7 @@
 
     /// Learns from the end of a run under a loan, which [`Self::done`] can't
     /// do as the pool never saw the request. The loan goes on.
-    pub fn learn(&mut self, now: Millis, tier: Tier, class: &name::Class, done: &Done) {
+    pub fn record_loan_run(&mut self, now: Millis, tier: Tier, class: &name::Class, done: &Done) {
         let id = self.classes.id(now, tier, class);
         let endpoint = self.places.get(done.permit).map(|place| place.endpoint);
         let class = self.classes.get_mut(id);
@@ -153,7 +153,7 @@
         }
     }
 
-    fn adopted_run(&mut self, now: Millis, held: &Held) -> Run {
+    fn adopted_run(&mut self, now: Millis, held: &ActiveRun) -> Run {
         let id = self.classes.id(now, held.tier, &held.class);
         let class: &mut Class = self.classes.get_mut(id);
         class.busy += 1;
--- a/crates/core/tests/pool/model.rs
+++ b/crates/core/tests/pool/model.rs
@@ -5,7 +5,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::control::{Done, Outcome};
 use woodgap_core::name::{Incarnation, Request};
-use woodgap_core::pool::{Decision, Held, Limits, Pool};
+use woodgap_core::pool::{ActiveRun, Decision, Limits, Pool};
 
 use super::fixture::{self, ENDPOINTS, SLOTS};
 use super::step::{HOLDERS, Step};
@@ -377,9 +377,9 @@
     }
 }
 
-fn held(number: u64, permit: u64, at: usize) -> Held {
+fn held(number: u64, permit: u64, at: usize) -> ActiveRun {
     let (tier, class) = fixture::class(number);
-    Held {
+    ActiveRun {
         request: request(number),
         holder: Incarnation(holder_of(number)),
         permit,
--- a/crates/core/tests/pool_cases.rs
+++ b/crates/core/tests/pool_cases.rs
@@ -7,7 +7,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::control::Outcome;
 use woodgap_core::name;
-use woodgap_core::pool::{Decision, Held, Limits, Pool};
+use woodgap_core::pool::{ActiveRun, Decision, Limits, Pool};
 use woodgap_core::tier::Tier;
 
 use home::{HOLDER, Home, ask, avoiding, request};
@@ -174,8 +174,8 @@
     );
 }
 
-fn held(number: u64, permit: u64, at: usize) -> Held {
-    Held {
+fn held(number: u64, permit: u64, at: usize) -> ActiveRun {
+    ActiveRun {
         request: request(number),
         holder: HOLDER,
         permit,
