--- a/crates/core/benches/pool.rs
+++ b/crates/core/benches/pool.rs
@@ -1,4 +1,4 @@
-//! What an ask, its grant and its end cost at a pool's home.
+//! Cost of an ask, its grant and its end at a pool's home.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -15,10 +15,10 @@
 const ENDPOINTS: [usize; 2] = [50, 800];
 const FLOWS: [usize; 2] = [10, 1_000];
 const SLOTS: u32 = 8;
-/// Classes in all tiers together, as many as a site's templates have.
+/// Number of classes in all tiers, as many as a site's templates have.
 const CLASSES: usize = 40;
 
-/// A pool that is full, with this many waiting beside what runs.
+/// Parameters of a full pool with this many waiting requests.
 struct Case {
     waiting: usize,
     tiers: u8,
@@ -26,8 +26,8 @@
     flows: usize,
 }
 
-/// A full pool and the ends of its runs in turn.
-struct Home {
+/// A full pool whose runs end in turn.
+struct FullPool {
     pool: Pool,
     case: Case,
     now: Millis,
@@ -36,7 +36,7 @@
     running: std::collections::VecDeque<(name::Request, u64)>,
 }
 
-impl Home {
+impl FullPool {
     fn new(case: Case) -> Self {
         let directory = directory(case.endpoints);
         let endpoints: Vec<_> = directory.iter().collect();
@@ -44,7 +44,7 @@
             waiting_per_slot: 1_000,
             ..Limits::default()
         };
-        let mut home = Self {
+        let mut full_pool = Self {
             pool: Pool::new(limits, 1),
             case,
             now: Millis::from_secs(1),
@@ -52,16 +52,18 @@
             out: Vec::new(),
             running: std::collections::VecDeque::new(),
         };
-        home.pool.set_endpoints(home.now, &endpoints, &mut home.out);
-        let slots = home.case.endpoints * SLOTS as usize;
-        for _ in 0..slots + home.case.waiting {
-            home.ask();
+        full_pool
+            .pool
+            .set_endpoints(full_pool.now, &endpoints, &mut full_pool.out);
+        let slots = full_pool.case.endpoints * SLOTS as usize;
+        for _ in 0..slots + full_pool.case.waiting {
+            full_pool.ask();
         }
-        // So that histories, lanes and orders are as in a pool long in use.
+        // Fills histories, duration buckets and indexes as in a pool long in use.
         for _ in 0..1_000 {
-            home.turn();
+            full_pool.run_cycle();
         }
-        home
+        full_pool
     }
 
     fn ask(&mut self) {
@@ -86,7 +88,7 @@
         let holder = name::Incarnation(1);
         self.pool
             .ask(self.now, Waiter { ask, holder }, &mut self.out);
-        self.note();
+        self.record_grants();
     }
 
     fn done(&mut self) {
@@ -102,17 +104,17 @@
             elapsed: Millis(250 + 20 * (permit % 100)),
         };
         self.pool.done(self.now, &done, &mut self.out);
-        self.note();
+        self.record_grants();
     }
 
-    /// One ask, one end, and the grant that follows from them.
-    fn turn(&mut self) {
+    /// Runs one ask, one end and the grant that follows.
+    fn run_cycle(&mut self) {
         self.now = self.now + Millis(u64::from(self.next.is_multiple_of(8)));
         self.ask();
         self.done();
     }
 
-    fn note(&mut self) {
+    fn record_grants(&mut self) {
         for decision in self.out.drain(..) {
             match decision {
                 Decision::Grant {
@@ -157,34 +159,35 @@
 #[divan::bench(args = cases(), sample_count = 200, sample_size = 50)]
 fn ask_grant_done(bencher: Bencher, case: (usize, u8, usize, usize)) {
     let (waiting, tiers, endpoints, flows) = case;
-    let mut home = Home::new(Case {
+    let mut full_pool = FullPool::new(Case {
         waiting,
         tiers,
         endpoints,
         flows,
     });
-    bencher.bench_local(|| home.turn());
+    bencher.bench_local(|| full_pool.run_cycle());
 }
 
-/// What a home does once a second, at 800 endpoints and 10,000 waiting.
+/// The maintenance that runs once a second, with 800 endpoints and 10,000
+/// waiting requests.
 #[divan::bench(sample_count = 50, sample_size = 1)]
 fn upkeep(bencher: Bencher) {
-    let mut home = Home::new(Case {
+    let mut full_pool = FullPool::new(Case {
         waiting: 10_000,
         tiers: 7,
         endpoints: 800,
         flows: 1_000,
     });
     bencher.bench_local(|| {
-        home.now = home.now + Millis::from_secs(1);
-        home.pool.tick(home.now, &mut home.out);
+        full_pool.now = full_pool.now + Millis::from_secs(1);
+        full_pool.pool.tick(full_pool.now, &mut full_pool.out);
     });
 }
 
-/// A round of load reports of 800 endpoints.
+/// An update of the load reports of 800 endpoints.
 #[divan::bench(sample_count = 50, sample_size = 1)]
 fn set_endpoints(bencher: Bencher) {
-    let mut home = Home::new(Case {
+    let mut full_pool = FullPool::new(Case {
         waiting: 10_000,
         tiers: 7,
         endpoints: 800,
@@ -193,7 +196,9 @@
     let directory = directory(800);
     let endpoints: Vec<_> = directory.iter().collect();
     bencher.bench_local(|| {
-        home.pool.set_endpoints(home.now, &endpoints, &mut home.out);
+        full_pool
+            .pool
+            .set_endpoints(full_pool.now, &endpoints, &mut full_pool.out);
     });
 }
 
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -1,4 +1,5 @@
-//! The home side of one pool: who waits, who is granted next and where, who is shed.
+//! Scheduler of one pool, run by the entry that is the pool's home: the waiting
+//! list, grants, loans and load shedding.
 
 use std::collections::BTreeMap;
 
@@ -8,45 +9,46 @@
 use crate::name;
 use crate::tier::Tier;
 
+pub mod allocation;
 pub mod choice;
 pub mod class;
 pub mod decision;
 mod dispatch;
 pub mod endpoint;
 pub mod estimate;
+pub mod fair_queue;
 pub mod flow;
+mod lifecycle;
 pub mod limits;
-pub mod line;
 mod loan;
-pub mod place;
+mod maintenance;
 pub mod reserve;
-mod run;
 pub mod share;
 pub mod speed;
 pub mod stats;
 pub mod tag;
-mod upkeep;
 pub mod waiting;
 
 pub use decision::{ActiveRun, Decision, Loan, Waiter};
 pub use limits::Limits;
 pub use stats::Stats;
 
+use allocation::{Allocations, Use};
 use choice::Endpoints;
 use class::Classes;
-use place::{Places, Use};
-use reserve::{Rate, Reserve};
+use reserve::{DecayingRate, Reserve};
 use share::Shares;
-use speed::Usual;
+use speed::BaselineSpeed;
 use waiting::Waiting;
 
-/// The priority inside an engine of what runs out of its class's share: behind
-/// every tier, so that it preempts nothing. It is not starved, for a pool sends
-/// an endpoint no more than it has proved to run at once: see
-/// [`endpoint::Endpoint::limit`].
+/// Engine priority of runs granted from a class's minimum share. It is below
+/// every tier, so these runs preempt nothing. They don't starve, because a pool
+/// never sends an endpoint more runs than it has been observed to run at once;
+/// see [`endpoint::Endpoint::limit`].
 pub const MINIMUM_SHARE_PRIORITY: u8 = Tier::LOWEST.number() + 1;
 
-/// The priority inside an engine, 0 first.
+/// Returns the priority inside the engine; 0 is the highest. `from_class_share`
+/// marks a run granted from its class's minimum share.
 ///
 /// ```
 /// use woodgap_core::pool::priority;
@@ -55,22 +57,23 @@
 /// assert_eq!(priority(Tier::HIGHEST, false), 1);
 /// assert_eq!(priority(Tier::HIGHEST, true), 8);
 /// ```
-pub fn priority(tier: Tier, shared: bool) -> u8 {
-    if shared {
+pub fn priority(tier: Tier, from_class_share: bool) -> u8 {
+    if from_class_share {
         MINIMUM_SHARE_PRIORITY
     } else {
         tier.number()
     }
 }
 
-/// One pool: its waiting list and its endpoints' slots.
+/// Waiting list and endpoint slots of one pool.
 ///
-/// All of it is soft state. A new home starts with an empty pool and is told
-/// by [`Self::adopt`] what runs, and by [`Self::ask`] who waits.
+/// The state is not persisted. A new home starts with an empty pool;
+/// [`Self::adopt`] restores the active runs and [`Self::ask`] the waiting
+/// requests.
 ///
 /// Messages may be lost, repeated and reordered. An ask that is repeated after
-/// its run ended is taken for a new one, so a holder has to give back a permit
-/// that it has no use for by [`Self::done`], as cancelled.
+/// its run ended counts as a new one, so a holder must return a permit that it
+/// does not need by calling [`Self::done`] with a cancelled outcome.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -88,90 +91,94 @@
     classes: Classes,
     waiting: Waiting,
     endpoints: Endpoints,
-    places: Places,
-    usual: Usual,
+    allocations: Allocations,
+    baseline: BaselineSpeed,
     reserve: Reserve,
-    grants: Rate,
-    /// Slots when there last were any.
-    known_slots: Option<u32>,
-    /// Since when there has been no endpoint.
-    empty_since: Option<Millis>,
-    next_upkeep: Millis,
+    grant_rate: DecayingRate,
+    /// Number of slots when there last were any.
+    last_known_slots: Option<u32>,
+    /// When the pool lost its last endpoint.
+    without_endpoints_since: Option<Millis>,
+    next_maintenance: Millis,
 }
 
 impl Pool {
-    /// A pool that knows no endpoints yet. The seed must differ between pools,
-    /// entries and lives of one entry: permits are drawn from it.
+    /// Creates a pool without endpoints. Permits are derived from the seed, so
+    /// it must differ between pools, entries and incarnations of one entry.
     pub fn new(limits: Limits, seed: u64) -> Self {
         Self {
             classes: Classes::default(),
             waiting: Waiting::new(Shares::new(limits.share, limits.share_total)),
             endpoints: Endpoints::new(limits.affinity, seed),
-            places: Places::new(seed),
-            usual: Usual::default(),
+            allocations: Allocations::new(seed),
+            baseline: BaselineSpeed::default(),
             reserve: Reserve::default(),
-            grants: Rate::default(),
-            known_slots: None,
-            empty_since: None,
-            next_upkeep: Millis::ZERO,
+            grant_rate: DecayingRate::default(),
+            last_known_slots: None,
+            without_endpoints_since: None,
+            next_maintenance: Millis::ZERO,
             limits,
         }
     }
 
-    /// Takes in the endpoints that may get new work, with their load reports,
-    /// in place of those known before. Runs at the others go on.
+    /// Replaces the endpoints that may get new work and their load reports.
+    /// Runs at removed endpoints continue.
     pub fn set_endpoints(
         &mut self,
         now: Millis,
         endpoints: &[&directory::Endpoint],
         out: &mut Vec<Decision>,
     ) {
-        self.endpoints.list(now, endpoints);
+        self.endpoints.set_listed(now, endpoints);
         if self.endpoints.slots() > 0 {
-            self.known_slots = Some(self.endpoints.slots());
+            self.last_known_slots = Some(self.endpoints.slots());
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// Takes a request in. Idempotent: one that waits keeps its place, and one
-    /// that was granted gets its grant again, unless the list of endpoints to
-    /// avoid has grown since: then its last run is over.
+    /// Adds a request to the waiting list. Idempotent: a waiting request keeps
+    /// its position, and the grant of a granted request is repeated. If its
+    /// list of endpoints to avoid has grown, the previous run has ended and the
+    /// request waits again.
     pub fn ask(&mut self, now: Millis, waiter: Waiter, out: &mut Vec<Decision>) {
         let request = waiter.ask.request;
-        while let Some(permit) = self.places.by_request(request) {
+        while let Some(permit) = self.allocations.by_request(request) {
             if let Some(grant) = self.repeat_grant(permit, &waiter) {
                 out.push(grant);
                 return;
             }
-            self.end_place(now, permit, None);
+            self.release_allocation(now, permit, None);
         }
         if !self.waiting.contains(request) {
-            self.enter(now, waiter);
+            self.enqueue(now, waiter);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// The request no longer waits, nor holds a place. Idempotent.
+    /// Removes the request from the waiting list and releases its allocations.
+    /// Idempotent.
     pub fn withdraw(&mut self, now: Millis, request: name::Request, out: &mut Vec<Decision>) {
-        self.leave(now, request);
-        while let Some(permit) = self.places.by_request(request) {
-            self.end_place(now, permit, None);
+        self.remove_waiting(now, request);
+        while let Some(permit) = self.allocations.by_request(request) {
+            self.release_allocation(now, permit, None);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// Takes a permit back. Idempotent: unknown permits are ignored. The end
-    /// of a run under a loan leaves the place lent; see [`Self::record_loan_run`].
+    /// Releases a permit. Idempotent: unknown permits are ignored. The end of a
+    /// run under a loan does not return the loan; see
+    /// [`Self::record_loan_run`].
     pub fn done(&mut self, now: Millis, done: &Done, out: &mut Vec<Decision>) {
-        let place = self.places.get(done.permit);
-        if place.is_some_and(|place| matches!(place.used, Use::Lent(_))) {
+        let allocation = self.allocations.get(done.permit);
+        if allocation.is_some_and(|allocation| matches!(allocation.purpose, Use::Lent(_))) {
             return;
         }
-        self.end_place(now, done.permit, Some(done));
-        self.settle(now, out);
+        self.release_allocation(now, done.permit, Some(done));
+        self.schedule(now, out);
     }
 
-    /// An entry's life ended: its waiting requests go, and its places are free again.
+    /// Removes the waiting requests and releases the allocations of an entry's
+    /// incarnation that has ended.
     pub fn forget_holder(
         &mut self,
         now: Millis,
@@ -179,45 +186,47 @@
         out: &mut Vec<Decision>,
     ) {
         for number in self.waiting.held_by(holder) {
-            self.leave_number(now, number);
+            self.remove_waiting_by_number(now, number);
         }
         for permit in self.permits(holder) {
-            self.end_place(now, permit, None);
+            self.release_allocation(now, permit, None);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// Time has passed: loans end, rests end, estimates are renewed. To be
-    /// called every 50 ms or so.
+    /// Expires loans and backoffs and runs periodic maintenance. Must be called
+    /// about every 50 ms.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Decision>) {
         self.expire_loans(now);
-        if now >= self.next_upkeep {
-            self.next_upkeep = now + upkeep::PERIOD;
-            self.keep_up(now);
+        if now >= self.next_maintenance {
+            self.next_maintenance = now + maintenance::INTERVAL;
+            self.run_maintenance(now);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// The permits that an entry's life holds, loans included, by number.
+    /// Returns the permits held by an entry's incarnation, loans included, in
+    /// ascending order.
     pub fn permits(&self, holder: name::Incarnation) -> Vec<u64> {
         let held = self
-            .places
+            .allocations
             .iter()
-            .filter(|(_, place)| place.holder == holder);
+            .filter(|(_, allocation)| allocation.holder == holder);
         held.map(|(permit, _)| permit).collect()
     }
 
-    /// Whether somebody waits or few slots are free: nothing is lent then.
+    /// Returns whether requests wait or less than half of the slots are free. A
+    /// contended pool lends nothing.
     pub fn contended(&self) -> bool {
-        !self.waiting.is_empty() || self.endpoints.room() * 2 < self.endpoints.slots()
+        !self.waiting.is_empty() || self.endpoints.available() * 2 < self.endpoints.slots()
     }
 
-    /// Whether somebody waits.
+    /// Returns whether any request waits.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// The pool's figures.
+    /// Returns the pool's statistics.
     pub fn stats(&self) -> Stats {
         let in_use = self.endpoints.in_use();
         Stats {
@@ -225,9 +234,9 @@
             in_flight: in_use
                 .map(|endpoint| (endpoint.name.clone(), endpoint.used))
                 .collect::<BTreeMap<_, _>>(),
-            lent: u32::try_from(self.places.lent()).unwrap_or(u32::MAX),
+            lent: u32::try_from(self.allocations.lent()).unwrap_or(u32::MAX),
             slots: self.endpoints.slots(),
-            free: self.endpoints.room(),
+            free: self.endpoints.available(),
         }
     }
 }
--- a/crates/core/src/pool/choice.rs
+++ b/crates/core/src/pool/choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Selects the endpoint that a request is sent to.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,57 +8,59 @@
 use crate::pool::endpoint::Endpoint;
 use crate::pool::tag::Tag;
 
-/// Points of each endpoint on the ring: their shares differ by a fifth or so.
-const POINTS: usize = 32;
-/// Points of the ring that are looked at before the least loaded endpoint is taken.
-const STEPS: usize = 16;
-/// Share of its slots up to which an endpoint counts as idle: with the whole
-/// pool idle, the mean is too low a bound for prompts that recur.
-const IDLE: f64 = 0.5;
-/// Open endpoints that are looked at for one that suits.
-const LOOK: usize = 16;
-/// How long the pace of an endpoint without work is remembered: over a restart
-/// of its process or a cut of the network.
-const REMEMBERED: Millis = Millis::from_secs(600);
+/// Points of each endpoint on the consistent-hash ring. With 32 points, the
+/// endpoints' portions of the ring differ by about a fifth.
+const POINTS_PER_ENDPOINT: usize = 32;
+/// Ring points examined before falling back to the least loaded endpoint.
+const MAX_RING_STEPS: usize = 16;
+/// Share of its slots up to which an endpoint counts as idle. When the whole
+/// pool is idle, the bound derived from the mean load is too low to keep
+/// recurring prompts on one endpoint.
+const IDLE_SHARE: f64 = 0.5;
+/// Open endpoints examined for a suitable one.
+const MAX_CANDIDATES: usize = 16;
+/// How long the speed of an endpoint without work is kept. It covers a restart
+/// of its process or a network partition.
+const ENDPOINT_RETENTION: Millis = Millis::from_secs(600);
 
-/// What a request wants of its endpoint.
+/// A request's criteria for an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
-    /// Endpoints that failed it.
+pub struct Criteria<'a> {
+    /// Endpoints that failed the request.
     pub avoid: &'a [name::Endpoint],
-    /// Whether these are taken if no other is open.
-    pub avoided_too: bool,
-    /// Hash of the prompt's start; 0 for none.
+    /// Whether the endpoints in `avoid` may be used.
+    pub allow_avoided: bool,
+    /// Hash of the prompt's prefix; 0 for none.
     pub prefix: u64,
-    /// How many times slower than usual it may run and meet its target; below
-    /// 1 if it can't be met anyhow.
-    pub spare: f64,
+    /// Factor by which the run may be slower than usual and still meet its
+    /// target; below 1 if the target can't be met.
+    pub slack_ratio: f64,
 }
 
-/// What an endpoint counts for in the pool's sums, as last computed.
+/// An endpoint's last computed contribution to the pool's totals.
 #[derive(Clone, Copy, Debug, Default)]
-struct Counted {
-    place: Option<(Tag, u64)>,
-    room: u32,
+struct Contribution {
+    open_key: Option<(Tag, u64)>,
+    available: u32,
     slots: u32,
     used: u32,
     weight: f64,
     listed: bool,
 }
 
-/// The endpoints of a pool.
+/// Endpoints of a pool, indexed for selection.
 #[derive(Debug)]
 pub struct Endpoints {
     affinity: f64,
     seed: u64,
     list: Vec<Endpoint>,
-    counted: Vec<Counted>,
+    counted: Vec<Contribution>,
     ids: HashMap<name::Endpoint, u32>,
     free: Vec<u32>,
     open: BTreeSet<(Tag, u64, u32)>,
     ring: BTreeMap<u64, u32>,
-    resting: BTreeSet<(Millis, u32)>,
-    room: u32,
+    backing_off: BTreeSet<(Millis, u32)>,
+    available: u32,
     slots: u32,
     used: u32,
     listed: usize,
@@ -66,8 +68,8 @@
 }
 
 impl Endpoints {
-    /// No endpoints yet. Equal prompts go to one endpoint while its load is at
-    /// most `affinity` times the mean.
+    /// Creates an empty set. Requests with equal prompt prefixes go to one
+    /// endpoint while its load is at most `affinity` times the mean.
     pub fn new(affinity: f64, seed: u64) -> Self {
         Self {
             affinity,
@@ -78,8 +80,8 @@
             free: Vec::new(),
             open: BTreeSet::new(),
             ring: BTreeMap::new(),
-            resting: BTreeSet::new(),
-            room: 0,
+            backing_off: BTreeSet::new(),
+            available: 0,
             slots: 0,
             used: 0,
             listed: 0,
@@ -87,51 +89,52 @@
         }
     }
 
-    /// The endpoint of this number.
+    /// Returns the endpoint with this id.
     pub fn get(&self, id: u32) -> &Endpoint {
         &self.list[id as usize]
     }
 
-    /// Changes an endpoint and brings the orders up to date.
-    pub fn change(&mut self, now: Millis, id: u32, change: impl FnOnce(&mut Endpoint)) {
+    /// Changes an endpoint and updates the indexes and totals.
+    pub fn update(&mut self, now: Millis, id: u32, change: impl FnOnce(&mut Endpoint)) {
         change(&mut self.list[id as usize]);
-        self.renew(now, id);
+        self.refresh(now, id);
     }
 
-    /// The numbers of the endpoints that may get new work or have some.
+    /// Returns the ids of the endpoints that are listed or in use.
     pub fn ids(&self) -> Vec<u32> {
         let known = (0..).zip(&self.list);
-        let about = known.filter(|(_, endpoint)| endpoint.listed || endpoint.used > 0);
-        about.map(|(id, _)| id).collect()
+        let relevant = known.filter(|(_, endpoint)| endpoint.listed || endpoint.used > 0);
+        relevant.map(|(id, _)| id).collect()
     }
 
-    /// Sets how overdue an endpoint's runs are; 1.0 for not at all.
+    /// Sets the factor by which an endpoint's active runs are overdue; 1.0 if
+    /// they are not.
     pub fn set_overdue(&mut self, now: Millis, id: u32, overdue: f64) {
         if self.list[id as usize].set_overdue(overdue) {
-            self.renew(now, id);
+            self.refresh(now, id);
         }
     }
 
-    /// Endpoints with something in use.
+    /// Returns the endpoints with runs or loans.
     pub fn in_use(&self) -> impl Iterator<Item = &Endpoint> {
         self.list.iter().filter(|endpoint| endpoint.used > 0)
     }
 
-    /// Places that could be given away now.
-    pub fn room(&self) -> u32 {
-        self.room
+    /// Returns the number of slots that can be allocated now.
+    pub fn available(&self) -> u32 {
+        self.available
     }
 
-    /// Slots of the endpoints that may get new work.
+    /// Returns the number of slots of all listed endpoints.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// The number of the endpoint, given on first sight.
+    /// Returns the endpoint's id, assigning one on first use.
     ///
     /// # Panics
     ///
-    /// Never in practice: above 2^32 endpoints.
+    /// Above 2^32 endpoints.
     pub fn id(&mut self, name: &name::Endpoint) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -142,42 +145,49 @@
             id
         } else {
             self.list.push(endpoint);
-            self.counted.push(Counted::default());
+            self.counted.push(Contribution::default());
             u32::try_from(self.list.len() - 1).expect("fewer than 2^32 endpoints")
         };
         self.ids.insert(name.clone(), id);
-        for point in points(name) {
+        for point in ring_points(name) {
             self.ring.entry(point).or_insert(id);
         }
         id
     }
 
-    /// Takes in the endpoints that may get new work, in place of those before.
-    pub fn list(&mut self, now: Millis, known: &[&directory::Endpoint]) {
+    /// Replaces the set of endpoints that may get new work.
+    pub fn set_listed(&mut self, now: Millis, known: &[&directory::Endpoint]) {
         let mut listed = BTreeSet::new();
         for known in known {
             let id = self.id(&known.name);
             listed.insert(id);
-            self.change(now, id, |endpoint| endpoint.list(now, known));
+            self.update(now, id, |endpoint| endpoint.mark_listed(now, known));
         }
         for id in 0..self.list.len() {
             let id = u32::try_from(id).unwrap_or(u32::MAX);
             if self.get(id).listed && !listed.contains(&id) {
-                self.change(now, id, |endpoint| endpoint.unlist(now));
+                self.update(now, id, |endpoint| endpoint.mark_unlisted(now));
             }
         }
     }
 
-    /// Forgets the endpoints that have been away for long.
-    pub fn forget_old(&mut self, now: Millis) {
+    /// Removes endpoints that have been unlisted and unused for
+    /// `ENDPOINT_RETENTION`.
+    pub fn evict_old(&mut self, now: Millis) {
         let list = &self.list;
-        let old = |id: u32| {
+        let is_expired = |id: u32| {
             let endpoint = &list[id as usize];
             let away = !endpoint.listed && endpoint.used == 0;
-            away && now - endpoint.unlisted_at > REMEMBERED
+            away && now - endpoint.unlisted_at > ENDPOINT_RETENTION
         };
-        let mut gone: Vec<u32> = self.ids.values().copied().filter(|id| old(*id)).collect();
-        // The map's order is not the same in each process; numbers should be.
+        let mut gone: Vec<u32> = self
+            .ids
+            .values()
+            .copied()
+            .filter(|id| is_expired(*id))
+            .collect();
+        // The map's iteration order differs between processes; sorting makes the
+        // reuse of ids deterministic.
         gone.sort_unstable();
         for id in &gone {
             self.ids.remove(&self.list[*id as usize].name);
@@ -186,41 +196,48 @@
         self.free.append(&mut gone);
     }
 
-    /// Opens the endpoints whose rest is over.
-    pub fn wake(&mut self, now: Millis) {
-        while let Some((until, id)) = self.resting.first().copied() {
+    /// Reopens the endpoints whose backoff has ended.
+    pub fn end_backoffs(&mut self, now: Millis) {
+        while let Some((until, id)) = self.backing_off.first().copied() {
             if now < until {
                 return;
             }
-            self.resting.pop_first();
-            self.renew(now, id);
+            self.backing_off.pop_first();
+            self.refresh(now, id);
         }
     }
 
-    /// The best endpoint for a request, if one suits.
-    pub fn choose(&self, now: Millis, want: &Want) -> Option<u32> {
-        let avoid = if want.avoided_too || self.all_avoided(want.avoid) {
+    /// Returns the best suitable endpoint for a request.
+    pub fn choose(&self, now: Millis, criteria: &Criteria) -> Option<u32> {
+        let avoid = if criteria.allow_avoided || self.all_avoided(criteria.avoid) {
             &[]
         } else {
-            want.avoid
+            criteria.avoid
         };
-        let fits = |id: &u32| self.fits(now, *id, avoid, want.spare);
-        let near = self.near(want.prefix).filter(fits);
-        near.or_else(|| self.least_loaded().find(fits))
+        let is_suitable = |id: &u32| self.is_suitable(now, *id, avoid, criteria.slack_ratio);
+        let preferred = self.by_prefix(criteria.prefix).filter(is_suitable);
+        preferred.or_else(|| self.least_loaded().find(is_suitable))
     }
 
-    /// Open endpoints, the least loaded first.
+    /// Returns open endpoints, the least loaded first.
     pub fn least_loaded(&self) -> impl Iterator<Item = u32> {
-        self.open.iter().take(LOOK).map(|(_, _, id)| *id)
+        self.open.iter().take(MAX_CANDIDATES).map(|(_, _, id)| *id)
     }
 
-    fn fits(&self, now: Millis, id: u32, avoid: &[name::Endpoint], spare: f64) -> bool {
+    fn is_suitable(
+        &self,
+        now: Millis,
+        id: u32,
+        avoid: &[name::Endpoint],
+        slack_ratio: f64,
+    ) -> bool {
         let endpoint = self.get(id);
-        let in_time = !endpoint.is_slow() || spare * endpoint.speed() >= 1.0;
-        (in_time || endpoint.may_be_tried(now)) && !avoid.contains(&endpoint.name)
+        let in_time = !endpoint.is_slow() || slack_ratio * endpoint.speed() >= 1.0;
+        (in_time || endpoint.is_trial_due(now)) && !avoid.contains(&endpoint.name)
     }
 
-    /// Whether the list leaves no endpoint: then it is as good as none.
+    /// Returns whether every listed endpoint is to be avoided. Then the list is
+    /// ignored.
     fn all_avoided(&self, avoid: &[name::Endpoint]) -> bool {
         if avoid.len() < self.listed {
             return false;
@@ -230,19 +247,19 @@
         listed.len() == self.listed
     }
 
-    /// The first endpoint from the prompt's point on the ring that is open and
-    /// not loaded above its bound.
-    fn near(&self, prefix: u64) -> Option<u32> {
+    /// Returns the first endpoint on the ring, starting at the prompt prefix,
+    /// that is open and below its load bound.
+    fn by_prefix(&self, prefix: u64) -> Option<u32> {
         if prefix == 0 || self.affinity <= 1.0 {
             return None;
         }
         let around = self.ring.range(prefix..).chain(self.ring.range(..prefix));
-        let mut points = around.take(STEPS).map(|(_, id)| *id);
+        let mut points = around.take(MAX_RING_STEPS).map(|(_, id)| *id);
         points.find(|id| self.is_open(*id) && self.below_bound(*id))
     }
 
     fn is_open(&self, id: u32) -> bool {
-        self.counted[id as usize].place.is_some()
+        self.counted[id as usize].open_key.is_some()
     }
 
     fn below_bound(&self, id: u32) -> bool {
@@ -252,54 +269,54 @@
         }
         let mean = f64::from(self.used + 1) / self.weight.max(f64::MIN_POSITIVE);
         let bound = (self.affinity * mean * endpoint.weight()).ceil();
-        let idle = IDLE * f64::from(endpoint.slots);
+        let idle = IDLE_SHARE * f64::from(endpoint.slots);
         f64::from(endpoint.used + 1) <= bound.max(idle)
     }
 
-    fn renew(&mut self, now: Millis, id: u32) {
+    fn refresh(&mut self, now: Millis, id: u32) {
         let endpoint = &self.list[id as usize];
-        let room = endpoint.room(now);
-        let tie = splitmix64(self.seed ^ u64::from(id));
-        let counted = Counted {
-            place: (room > 0).then(|| (Tag(endpoint.load()), tie)),
-            room,
+        let available = endpoint.available(now);
+        let tie_breaker = splitmix64(self.seed ^ u64::from(id));
+        let contribution = Contribution {
+            open_key: (available > 0).then(|| (Tag(endpoint.load()), tie_breaker)),
+            available,
             slots: if endpoint.listed { endpoint.slots } else { 0 },
             used: if endpoint.listed { endpoint.used } else { 0 },
             weight: endpoint.weight(),
             listed: endpoint.listed,
         };
-        if endpoint.rests(now) {
-            self.resting.insert((endpoint.rests_until, id));
+        if endpoint.is_backing_off(now) {
+            self.backing_off.insert((endpoint.backoff_until, id));
         }
-        let old = std::mem::replace(&mut self.counted[id as usize], counted);
-        if let Some((load, tie)) = old.place {
-            self.open.remove(&(load, tie, id));
+        let old = std::mem::replace(&mut self.counted[id as usize], contribution);
+        if let Some((load, tie_breaker)) = old.open_key {
+            self.open.remove(&(load, tie_breaker, id));
         }
-        if let Some((load, tie)) = counted.place {
-            self.open.insert((load, tie, id));
+        if let Some((load, tie_breaker)) = contribution.open_key {
+            self.open.insert((load, tie_breaker, id));
         }
-        self.room = self.room - old.room + counted.room;
-        self.slots = self.slots - old.slots + counted.slots;
-        self.used = self.used - old.used + counted.used;
-        self.listed = self.listed - usize::from(old.listed) + usize::from(counted.listed);
-        self.weight += counted.weight - old.weight;
+        self.available = self.available - old.available + contribution.available;
+        self.slots = self.slots - old.slots + contribution.slots;
+        self.used = self.used - old.used + contribution.used;
+        self.listed = self.listed - usize::from(old.listed) + usize::from(contribution.listed);
+        self.weight += contribution.weight - old.weight;
     }
 }
 
-/// The endpoint's points on the ring: the same at every home, so that a prompt
-/// meets its warm cache under a new home too.
-fn points(name: &name::Endpoint) -> impl Iterator<Item = u64> {
+/// Returns the endpoint's points on the ring. They are equal at every home, so
+/// that a prompt finds its cached prefix after the home has changed.
+fn ring_points(name: &name::Endpoint) -> impl Iterator<Item = u64> {
     let mut reader = blake3::Hasher::new()
         .update(name.as_str().as_bytes())
         .finalize_xof();
-    (0..POINTS).map(move |_| {
+    (0..POINTS_PER_ENDPOINT).map(move |_| {
         let mut bytes = [0; 8];
         reader.fill(&mut bytes);
         u64::from_le_bytes(bytes)
     })
 }
 
-/// Spreads the bits of a number (the finisher of `SplitMix64`).
+/// Mixes the bits of a number with the finalizer of `SplitMix64`.
 pub fn splitmix64(number: u64) -> u64 {
     let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/pool/class.rs
+++ b/crates/core/src/pool/class.rs
@@ -1,101 +1,106 @@
-//! The request classes of a pool, and what is known of each.
+//! Request classes of a pool and their measured behaviour.
 
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 use crate::name;
 use crate::pool::estimate::History;
-use crate::pool::reserve::{Rate, lane};
+use crate::pool::reserve::{DecayingRate, duration_bucket};
 use crate::tier::Tier;
 
-/// How long a class without requests is remembered: over a break in a shift.
-const REMEMBERED: Millis = Millis::from_secs(3_600);
-/// Span without arrivals after which nothing is kept for a class: over the
-/// gaps of a class with a request or two a minute.
-const LATELY: Millis = Millis::from_secs(60);
-/// Share of the difference by which a class's target falls with each request.
-const FALL: u64 = 256;
-/// The lane of a class that has never run: the middle one.
-const UNKNOWN_LANE: usize = 3;
-
-/// A class of one tier. The same class of two tiers counts as two, for each
-/// tier is owed its service by itself.
+/// How long a class without requests is kept. It covers a break between working
+/// shifts.
+const CLASS_RETENTION: Millis = Millis::from_secs(3_600);
+/// Time without arrivals after which no slots are reserved for a class. It
+/// covers the gaps of a class with one or two requests a minute.
+const ARRIVAL_WINDOW: Millis = Millis::from_secs(60);
+/// Each request lowers a class's target by the difference to its remaining time,
+/// divided by this value.
+const TARGET_DECAY_DIVISOR: u64 = 256;
+/// Duration bucket of a class without completed runs: a middle one.
+const DEFAULT_BUCKET: usize = 3;
+
+/// A class within one tier. The same class in two tiers is tracked twice,
+/// because each tier has its own minimum share.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// The tier.
     pub tier: Tier,
-    /// What its ended runs tell.
+    /// Statistics of completed runs.
     pub history: History,
-    /// Its arrivals.
-    pub rate: Rate,
-    /// Its lane by length.
-    pub lane: usize,
-    /// Requests that wait or run.
-    pub busy: u32,
-    /// The time that its requests have when they come.
+    /// Arrival rate.
+    pub rate: DecayingRate,
+    /// Bucket by run duration.
+    pub bucket: usize,
+    /// Number of waiting and running requests.
+    pub active: u32,
+    /// Time from the arrival of a request to its deadline.
     pub target: Millis,
-    seen: Millis,
+    last_active: Millis,
 }
 
 impl Class {
-    /// Notes a request that has this much time left.
-    pub fn arrive(&mut self, now: Millis, left: Millis) {
+    /// Records a request with this much time left.
+    pub fn record_arrival(&mut self, now: Millis, remaining: Millis) {
         self.rate.add(now);
-        self.seen = now;
-        // The target is what one has that has just come; others have less.
-        // It falls slowly, in case operators set a lower one.
-        let fallen = self.target - Millis((self.target - left).0 / FALL);
-        self.target = fallen.max(left);
+        self.last_active = now;
+        // Only a request that has just arrived has the whole target left; others
+        // have less. The target decays slowly so that it follows when operators
+        // lower it.
+        let decayed = self.target - Millis((self.target - remaining).0 / TARGET_DECAY_DIVISOR);
+        self.target = decayed.max(remaining);
     }
 
-    /// Notes the end of a run.
-    pub fn end(&mut self, now: Millis) {
-        self.busy -= 1;
-        self.seen = now;
+    /// Records the end of a run.
+    pub fn record_end(&mut self, now: Millis) {
+        self.active -= 1;
+        self.last_active = now;
     }
 
-    /// Time that nearly every request needs from its grant to meet its target.
+    /// Returns the time that nearly every request needs from its grant to meet
+    /// its target.
     ///
-    /// An ask does not say whether the target is the first token or the whole
-    /// answer. Where even a short answer takes longer than the target, it can
-    /// only be the first token. Half of the target at most, so that a class
-    /// whose long answers miss it anyhow does not count as late from the start.
-    pub fn need(&self) -> Millis {
-        self.usual().min(Millis(self.target.0 / 2))
+    /// An ask does not say whether the target applies to the first token or to
+    /// the whole answer. Where even a short answer takes longer than the
+    /// target, it can only apply to the first token. The result is at most half
+    /// of the target, so that a class whose long answers miss it anyhow does
+    /// not count as late from the start.
+    pub fn time_needed(&self) -> Millis {
+        self.planned_duration().min(Millis(self.target.0 / 2))
     }
 
-    /// How many times slower than usual a request with this much time left may
-    /// run and meet its target.
-    pub fn spare(&self, left: Millis) -> f64 {
-        left.0 as f64 / self.usual().0.max(1) as f64
+    /// Returns the factor by which a request with this much time left may be
+    /// slower than usual and still meet its target.
+    pub fn slack_ratio(&self, remaining: Millis) -> f64 {
+        remaining.0 as f64 / self.planned_duration().0.max(1) as f64
     }
 
-    fn usual(&self) -> Millis {
-        let short = self.history.short().unwrap_or(Millis::ZERO);
-        let usual = if short <= self.target {
-            self.history.long()
+    fn planned_duration(&self) -> Millis {
+        let p25 = self.history.p25().unwrap_or(Millis::ZERO);
+        let duration = if p25 <= self.target {
+            self.history.p95()
         } else {
-            self.history.first_token()
+            self.history.median_first_token()
         };
-        usual.unwrap_or(Millis::ZERO)
+        duration.unwrap_or(Millis::ZERO)
     }
 
-    /// Runs to be expected at once, by the arrivals of late (Little's law);
-    /// none if nothing came for long.
-    pub fn runs_at_once(&self, now: Millis) -> Option<f64> {
+    /// Returns the expected number of concurrent runs from the recent arrival
+    /// rate (Little's law), or none without recent arrivals.
+    pub fn expected_concurrency(&self, now: Millis) -> Option<f64> {
         let mean = self.history.mean()?;
-        (now - self.seen <= LATELY).then(|| self.rate.per_ms(now) * mean.0 as f64)
+        (now - self.last_active <= ARRIVAL_WINDOW).then(|| self.rate.per_ms(now) * mean.0 as f64)
     }
 
-    /// Puts the class into the lane that its runs' length calls for.
-    pub fn renew_lane(&mut self) {
+    /// Updates the duration bucket from the median run.
+    pub fn update_bucket(&mut self) {
         if let Some(median) = self.history.median() {
-            self.lane = lane(median);
+            self.bucket = duration_bucket(median);
         }
     }
 }
 
-/// All classes of a pool.
+/// All classes of a pool, by id.
 #[derive(Debug, Default)]
 pub struct Classes {
     list: Vec<Option<Class>>,
@@ -104,7 +109,7 @@
 }
 
 impl Classes {
-    /// The class's number, given on first sight.
+    /// Returns the class's id, assigning one on first use.
     pub fn id(&mut self, now: Millis, tier: Tier, name: &name::Class) -> u32 {
         if let Some(id) = self.find(tier, name) {
             return id;
@@ -112,27 +117,27 @@
         let class = Class {
             tier,
             history: History::default(),
-            rate: Rate::default(),
-            lane: UNKNOWN_LANE,
-            busy: 0,
+            rate: DecayingRate::default(),
+            bucket: DEFAULT_BUCKET,
+            active: 0,
             target: Millis::ZERO,
-            seen: now,
+            last_active: now,
         };
         let id = self.store(class);
         self.ids.entry(name.clone()).or_default().push((tier, id));
         id
     }
 
-    /// The class of this number.
+    /// Returns the class with this id.
     ///
     /// # Panics
     ///
-    /// If there is none: numbers are kept while anything refers to them.
+    /// If there is none. Ids stay valid while anything refers to them.
     pub fn get(&self, id: u32) -> &Class {
         self.list[id as usize].as_ref().expect("class in use")
     }
 
-    /// The class of this number.
+    /// Returns the class with this id.
     ///
     /// # Panics
     ///
@@ -141,19 +146,21 @@
         self.list[id as usize].as_mut().expect("class in use")
     }
 
-    /// All classes.
+    /// Iterates over all classes.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Class> {
         self.list.iter_mut().flatten()
     }
 
-    /// Forgets the classes that have not been seen for long; returns their numbers.
-    pub fn forget_old(&mut self, now: Millis) -> Vec<u32> {
+    /// Removes the classes that have been inactive for `CLASS_RETENTION` and
+    /// returns their ids.
+    pub fn evict_old(&mut self, now: Millis) -> Vec<u32> {
         let list = &mut self.list;
         let mut gone = Vec::new();
         self.ids.retain(|_, tiers| {
             tiers.retain(|(_, id)| {
                 let slot = &mut list[*id as usize];
-                let old = |class: &Class| class.busy == 0 && now - class.seen > REMEMBERED;
+                let old =
+                    |class: &Class| class.active == 0 && now - class.last_active > CLASS_RETENTION;
                 if !slot.as_ref().is_some_and(old) {
                     return true;
                 }
@@ -163,7 +170,8 @@
             });
             !tiers.is_empty()
         });
-        // The map's order is not the same in each process; numbers should be.
+        // The map's iteration order differs between processes; sorting makes the
+        // reuse of ids deterministic.
         gone.sort_unstable();
         self.free.extend(&gone);
         gone
--- a/crates/core/src/pool/decision.rs
+++ b/crates/core/src/pool/decision.rs
@@ -1,4 +1,4 @@
-//! What goes into a pool and what it decides.
+//! Inputs and decisions of a pool.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 use crate::name;
 use crate::tier::Tier;
 
-/// A request that asks for a place.
+/// A request to be scheduled and its holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// What it asks for.
+    /// The request's parameters.
     pub ask: Ask,
-    /// The life of the entry that holds the request.
+    /// Incarnation of the entry that holds the request.
     pub holder: name::Incarnation,
 }
 
-/// A run that an earlier home of the pool granted and that still goes on.
+/// A run that an earlier home of the pool granted and that is still active.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveRun {
     /// The request.
     pub request: name::Request,
-    /// The life of the entry that holds it.
+    /// Incarnation of the entry that holds it.
     pub holder: name::Incarnation,
     /// The permit under which it runs.
     pub permit: u64,
-    /// Where it runs.
+    /// The endpoint where it runs.
     pub endpoint: name::Endpoint,
     /// The workspace's tier.
     pub tier: Tier,
@@ -35,56 +35,57 @@
     pub workspace: name::Workspace,
 }
 
-/// What becomes of a waiting request.
+/// A scheduling decision about a waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may be sent to an endpoint.
+    /// The request may be sent to an endpoint.
     Grant {
         /// The request.
         request: name::Request,
-        /// The life of the entry that holds it.
+        /// Incarnation of the entry that holds it.
         holder: name::Incarnation,
-        /// Names the permit when it is given back.
+        /// Identifies the permit when it is returned.
         permit: u64,
         /// The endpoint.
         endpoint: name::Endpoint,
-        /// Where the endpoint takes requests.
+        /// The endpoint's address for requests.
         address: SocketAddr,
         /// The priority inside the engine, 0 (first) to 9 (last).
         priority: u8,
     },
-    /// The list is full, and it had to make room. It was not granted since it
-    /// last asked; one that asked with a list to avoid has run before that.
+    /// The waiting list is full and the request was dropped from it. It has not
+    /// been granted since its last ask. If that ask had a list of endpoints to
+    /// avoid, the request ran before it.
     Shed {
         /// The request.
         request: name::Request,
-        /// The life of the entry that holds it.
+        /// Incarnation of the entry that holds it.
         holder: name::Incarnation,
-        /// When its caller should come back.
+        /// When the caller should retry.
         retry_after: Millis,
     },
-    /// No endpoint of the pool takes work.
+    /// No endpoint of the pool accepts work.
     NoEndpoint {
         /// The request.
         request: name::Request,
-        /// The life of the entry that holds it.
+        /// Incarnation of the entry that holds it.
         holder: name::Incarnation,
     },
 }
 
-/// Places lent to an entry, to be used again and again until the loan ends.
+/// Slots lent to an entry, which may reuse them until the loan ends.
 ///
-/// Each permit stands for one run at a time. What still runs when the loan
-/// ends is reported by [`Pool::adopt`](crate::pool::Pool::adopt) and ended by
-/// [`Pool::done`](crate::pool::Pool::done).
+/// Each permit covers one run at a time. Runs that are still active when the
+/// loan ends are reported by [`Pool::adopt`](crate::pool::Pool::adopt) and
+/// ended by [`Pool::done`](crate::pool::Pool::done).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loan {
-    /// One permit per place.
+    /// One permit for each slot.
     pub permits: Vec<u64>,
     /// The endpoint.
     pub endpoint: name::Endpoint,
-    /// Where the endpoint takes requests.
+    /// The endpoint's address for requests.
     pub address: SocketAddr,
-    /// No run may start under the loan from here on.
+    /// Time from which no run may start under the loan.
     pub until: Millis,
 }
--- a/crates/core/src/pool/dispatch.rs
+++ b/crates/core/src/pool/dispatch.rs
@@ -1,94 +1,100 @@
-//! Who is granted next, and who has to make room.
+//! Grants waiting requests and sheds load.
 
 use crate::clock::Millis;
-use crate::pool::choice::{Want, splitmix64};
-use crate::pool::place::{Place, Run, Use};
-use crate::pool::reserve::LANES;
-use crate::pool::waiting::Entry;
+use crate::pool::allocation::{Allocation, Run, Use};
+use crate::pool::choice::{Criteria, splitmix64};
+use crate::pool::reserve::BUCKETS;
+use crate::pool::waiting::QueuedRequest;
 use crate::pool::{Decision, Pool, priority};
 use crate::tier::Tier;
 
-/// Requests that are looked at for one that an open endpoint suits, of each kind.
-const LOOK: usize = 4;
+/// Number of due classes, and of flows and requests in each flow, that are
+/// examined for a request with a suitable endpoint.
+const LOOKAHEAD: usize = 4;
 /// How long a retry waits for an endpoint that has not failed it.
-const AVOIDS_FOR: Millis = Millis(2_000);
-/// Slots that a pool is taken to have before it knows its endpoints.
-const UNKNOWN_SLOTS: u32 = 16;
-/// Bounds of the time after which a shed caller is told to come back.
-const COME_BACK: std::ops::RangeInclusive<u64> = 500..=30_000;
+const AVOID_TIMEOUT: Millis = Millis(2_000);
+/// Number of slots assumed before the pool knows its endpoints.
+const DEFAULT_SLOTS: u32 = 16;
+/// Range of the retry delay given to the caller of a shed request.
+const RETRY_AFTER_RANGE_MS: std::ops::RangeInclusive<u64> = 500..=30_000;
 
-/// What a tier with waiting requests does next.
+/// Next step for a tier with waiting requests.
 enum Next {
-    /// This request goes to this endpoint.
+    /// Grant this request at this endpoint.
     Grant(u64, u32),
-    /// No open endpoint suits its requests: a lower tier may have it.
-    Unsuited,
-    /// What is open is kept for shorter requests: no lower tier passes it.
-    Held,
+    /// No open endpoint suits the tier's requests; lower tiers may use the
+    /// slots.
+    NoSuitableEndpoint,
+    /// The open slots are reserved for shorter requests, and lower tiers may
+    /// not use them either.
+    Reserved,
 }
 
 impl Pool {
-    /// Grants and sheds what there is to, and refuses everybody where there
-    /// has been no endpoint for long.
-    pub(super) fn settle(&mut self, now: Millis, out: &mut Vec<Decision>) {
-        self.endpoints.wake(now);
+    /// Grants as many requests as possible, sheds those above the bound, and
+    /// rejects all if the pool has had no endpoint for too long.
+    pub(super) fn schedule(&mut self, now: Millis, out: &mut Vec<Decision>) {
+        self.endpoints.end_backoffs(now);
         while self.grant_one(now, out) {}
         self.shed(now, out);
-        self.give_up(now, out);
+        self.reject_without_endpoints(now, out);
     }
 
     fn grant_one(&mut self, now: Millis, out: &mut Vec<Decision>) -> bool {
-        if self.waiting.is_empty() || self.endpoints.room() == 0 {
+        if self.waiting.is_empty() || self.endpoints.available() == 0 {
             return false;
         }
-        let due: Vec<u64> = self.waiting.due().take(LOOK).collect();
-        if let Some((number, endpoint)) = self.first_suited(now, due) {
+        let due: Vec<u64> = self.waiting.due().take(LOOKAHEAD).collect();
+        if let Some((number, endpoint)) = self.first_with_endpoint(now, due) {
             self.grant(now, number, endpoint, true, out);
             return true;
         }
         let tiers: Vec<Tier> = self.waiting.tiers().map(|(tier, _)| tier).collect();
         for tier in tiers {
-            match self.next_of(now, tier) {
+            match self.next_in_tier(now, tier) {
                 Next::Grant(number, endpoint) => {
                     self.grant(now, number, endpoint, false, out);
                     return true;
                 }
-                Next::Unsuited => {}
-                Next::Held => return false,
+                Next::NoSuitableEndpoint => {}
+                Next::Reserved => return false,
             }
         }
         false
     }
 
-    /// The request that a tier serves next, and where. The first one is all
-    /// that is looked at, unless no open endpoint suits it.
-    fn next_of(&mut self, now: Millis, tier: Tier) -> Next {
-        let allowed = self.allowed(tier);
-        for count in [1, LOOK] {
-            let next = self.waiting.next(now, &self.classes, tier, allowed, count);
+    /// Returns the request that a tier serves next and its endpoint. More than
+    /// the first request is examined only if no open endpoint suits it.
+    fn next_in_tier(&mut self, now: Millis, tier: Tier) -> Next {
+        let allowed_buckets = self.allowed_buckets(tier);
+        for count in [1, LOOKAHEAD] {
+            let next = self
+                .waiting
+                .next_requests(now, &self.classes, tier, allowed_buckets, count);
             if next.is_empty() {
-                return Next::Held;
+                return Next::Reserved;
             }
-            if let Some((number, endpoint)) = self.first_suited(now, next) {
+            if let Some((number, endpoint)) = self.first_with_endpoint(now, next) {
                 return Next::Grant(number, endpoint);
             }
         }
-        Next::Unsuited
+        Next::NoSuitableEndpoint
     }
 
-    /// The lanes of which a tier may grant requests now: while room is short,
-    /// long ones leave what is kept for short ones.
-    fn allowed(&self, tier: Tier) -> [bool; LANES] {
-        let room = self.endpoints.room();
+    /// Returns the duration buckets from which a tier may grant requests now.
+    /// While few slots are free, long requests leave the reserved ones to short
+    /// requests.
+    fn allowed_buckets(&self, tier: Tier) -> [bool; BUCKETS] {
+        let available = self.endpoints.available();
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let most = (f64::from(self.endpoints.slots()) * self.limits.reserve) as u32;
-        if room > most {
-            return [true; LANES];
+        let max_reserved = (f64::from(self.endpoints.slots()) * self.limits.reserve) as u32;
+        if available > max_reserved {
+            return [true; BUCKETS];
         }
-        std::array::from_fn(|lane| room > self.reserve.held(tier, lane, most))
+        std::array::from_fn(|bucket| available > self.reserve.reserved(tier, bucket, max_reserved))
     }
 
-    fn first_suited(
+    fn first_with_endpoint(
         &self,
         now: Millis,
         numbers: impl IntoIterator<Item = u64>,
@@ -100,80 +106,92 @@
         })
     }
 
-    fn choose(&self, now: Millis, entry: &Entry) -> Option<u32> {
-        let ask = &entry.waiter.ask;
-        let class = self.classes.get(entry.class);
-        let want = Want {
+    fn choose(&self, now: Millis, queued: &QueuedRequest) -> Option<u32> {
+        let ask = &queued.waiter.ask;
+        let class = self.classes.get(queued.class);
+        let criteria = Criteria {
             avoid: &ask.avoid,
-            avoided_too: now - entry.since >= AVOIDS_FOR,
+            allow_avoided: now - queued.since >= AVOID_TIMEOUT,
             prefix: ask.prefix,
-            spare: class.spare(ask.deadline - now),
+            slack_ratio: class.slack_ratio(ask.deadline - now),
         };
-        self.endpoints.choose(now, &want)
+        self.endpoints.choose(now, &criteria)
     }
 
-    fn grant(&mut self, now: Millis, number: u64, id: u32, shared: bool, out: &mut Vec<Decision>) {
-        let Some((entry, cost)) = self.take_out(now, number, shared) else {
+    fn grant(
+        &mut self,
+        now: Millis,
+        number: u64,
+        id: u32,
+        from_class_share: bool,
+        out: &mut Vec<Decision>,
+    ) {
+        let Some((queued, cost)) = self.dequeue(now, number, from_class_share) else {
             return;
         };
-        let ask = &entry.waiter.ask;
+        let ask = &queued.waiter.ask;
         let run = Run {
             request: ask.request,
             tier: ask.tier,
-            class: entry.class,
-            flow: entry.flow,
-            lane: self.classes.get(entry.class).lane,
+            class: queued.class,
+            flow: queued.flow,
+            bucket: self.classes.get(queued.class).bucket,
             charged: cost,
-            shared,
+            from_class_share,
             attempt: Some(ask.avoid.len()),
         };
-        let place = Place {
-            holder: entry.waiter.holder,
+        let allocation = Allocation {
+            holder: queued.waiter.holder,
             endpoint: id,
             since: now,
-            used: Use::Run(run),
+            purpose: Use::Run(run),
         };
-        let permit = self.places.draw();
-        self.endpoints.change(now, id, |endpoint| {
-            endpoint.take(now);
-            endpoint.note_trial(now);
+        let permit = self.allocations.next_permit();
+        self.endpoints.update(now, id, |endpoint| {
+            endpoint.acquire(now);
+            endpoint.record_trial(now);
         });
-        self.start(permit, place, run);
-        self.grants.add(now);
+        self.start_run(permit, allocation, run);
+        self.grant_rate.add(now);
         let endpoint = self.endpoints.get(id);
         out.extend(endpoint.address.map(|address| Decision::Grant {
             request: ask.request,
-            holder: entry.waiter.holder,
+            holder: queued.waiter.holder,
             permit,
             endpoint: endpoint.name.clone(),
             address,
-            priority: priority(ask.tier, shared),
+            priority: priority(ask.tier, from_class_share),
         }));
     }
 
-    /// Takes a request off the list and charges what it is expected to cost.
-    fn take_out(&mut self, now: Millis, number: u64, shared: bool) -> Option<(Entry, f64)> {
-        let entry = self.waiting.get(number);
-        let (class, flow) = (entry.class, entry.flow);
-        let cost = self.classes.get(class).history.cost();
+    /// Removes a request from the waiting list and charges its expected cost.
+    fn dequeue(
+        &mut self,
+        now: Millis,
+        number: u64,
+        from_class_share: bool,
+    ) -> Option<(QueuedRequest, f64)> {
+        let queued = self.waiting.get(number);
+        let (class, flow) = (queued.class, queued.flow);
+        let cost = self.classes.get(class).history.expected_cost();
         self.waiting
-            .charge(now, &self.classes, class, flow, cost, shared);
-        if shared {
+            .charge(now, &self.classes, class, flow, cost, from_class_share);
+        if from_class_share {
             self.waiting.rotate(now, &self.classes, class, flow);
         }
-        let entry = self.waiting.remove(now, &self.classes, number)?;
-        Some((entry, cost))
+        let queued = self.waiting.remove(now, &self.classes, number)?;
+        Some((queued, cost))
     }
 
     fn shed(&mut self, now: Millis, out: &mut Vec<Decision>) {
-        let slots = self.known_slots.unwrap_or(UNKNOWN_SLOTS);
+        let slots = self.last_known_slots.unwrap_or(DEFAULT_SLOTS);
         let bound = slots.saturating_mul(self.limits.waiting_per_slot) as usize;
-        while self.waiting.bounded() > bound {
-            let Some(number) = self.waiting.victim(now, &self.classes) else {
+        while self.waiting.bounded_len() > bound {
+            let Some(number) = self.waiting.shed_candidate(now, &self.classes) else {
                 return;
             };
             let retry_after = self.retry_after(now, number);
-            let waiter = self.leave_number(now, number);
+            let waiter = self.remove_waiting_by_number(now, number);
             out.extend(waiter.map(|waiter| Decision::Shed {
                 request: waiter.ask.request,
                 holder: waiter.holder,
@@ -182,28 +200,29 @@
         }
     }
 
-    /// How long the list takes to empty at the present rate of grants, spread
-    /// by a half each way so that callers do not come back all at once.
+    /// Estimates how long the waiting list takes to drain at the present rate
+    /// of grants. The result is spread by half in each direction so that
+    /// callers do not all retry at once.
     fn retry_after(&self, now: Millis, number: u64) -> Millis {
-        let rate = self.grants.per_ms(now).max(f64::MIN_POSITIVE);
+        let rate = self.grant_rate.per_ms(now).max(f64::MIN_POSITIVE);
         let spread = 0.5 + (splitmix64(number) % 1_000) as f64 / 1_000.0;
         let span = (self.waiting.len() as f64 / rate * spread).min(1e9);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let span = span as u64;
-        Millis(span.clamp(*COME_BACK.start(), *COME_BACK.end()))
+        Millis(span.clamp(*RETRY_AFTER_RANGE_MS.start(), *RETRY_AFTER_RANGE_MS.end()))
     }
 
-    fn give_up(&mut self, now: Millis, out: &mut Vec<Decision>) {
+    fn reject_without_endpoints(&mut self, now: Millis, out: &mut Vec<Decision>) {
         if self.endpoints.slots() > 0 {
-            self.empty_since = None;
+            self.without_endpoints_since = None;
             return;
         }
-        let since = *self.empty_since.get_or_insert(now);
+        let since = *self.without_endpoints_since.get_or_insert(now);
         if now - since < self.limits.no_endpoint_timeout {
             return;
         }
         for number in self.waiting.numbers() {
-            let waiter = self.leave_number(now, number);
+            let waiter = self.remove_waiting_by_number(now, number);
             out.extend(waiter.map(|waiter| Decision::NoEndpoint {
                 request: waiter.ask.request,
                 holder: waiter.holder,
--- a/crates/core/src/pool/endpoint.rs
+++ b/crates/core/src/pool/endpoint.rs
@@ -1,4 +1,5 @@
-//! One endpoint as its pool's home sees it: what runs there, and how much more may.
+//! One endpoint as seen by its pool's home: its active runs and how many more
+//! it may take.
 
 use std::net::SocketAddr;
 
@@ -6,55 +7,58 @@
 use crate::control::directory;
 use crate::instance::Load;
 use crate::name;
-use crate::pool::speed::{Pace, SLOW};
+use crate::pool::speed::{RelativeSpeed, SLOW_THRESHOLD};
 
-/// Age from which a load report says nothing about now.
-const STALE: Millis = Millis::from_secs(5);
-/// Seconds over which the own peak is remembered: a report's age and the way there.
-const PEAKS: usize = 8;
-/// How long an endpoint rests after its first failure, and at most.
-const REST: Millis = Millis(250);
-const LONGEST_REST: Millis = Millis::from_secs(8);
-/// How long an endpoint rests after its first refusal: it is only full.
-const PAUSE: Millis = Millis(100);
-/// How often a slow endpoint is tried with whatever comes.
-const TRIAL: Millis = Millis::from_secs(5);
+/// Age from which a load report is outdated.
+const REPORT_MAX_AGE: Millis = Millis::from_secs(5);
+/// Seconds for which peaks of this pool's own use are kept: the age of a load
+/// report plus its transit time.
+const PEAK_SECONDS: usize = 8;
+/// Backoff after the first failure. It doubles with each further failure, up to
+/// [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Millis = Millis(250);
+const MAX_BACKOFF: Millis = Millis::from_secs(8);
+/// Backoff after a refusal. It is short because the endpoint is only full.
+const REFUSAL_BACKOFF: Millis = Millis(100);
+/// How often a slow endpoint gets a request regardless of its deadline, as a
+/// trial.
+const TRIAL_INTERVAL: Millis = Millis::from_secs(5);
 
-/// An endpoint.
+/// State of an endpoint.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its name.
+    /// The endpoint.
     pub name: name::Endpoint,
-    /// Where it takes requests, if it was ever listed.
+    /// Address for requests, if it was ever listed.
     pub address: Option<SocketAddr>,
-    /// Whether it may get new work at all.
+    /// Whether it may get new work.
     pub listed: bool,
-    /// Since when it may get none.
+    /// When it was last unlisted.
     pub unlisted_at: Millis,
-    /// Requests that it runs side by side, by its own word.
+    /// Number of concurrent requests that it reports to support.
     pub slots: u32,
-    /// Runs and lent places of this pool.
+    /// Slots in use by runs and loans of this pool.
     pub used: u32,
-    /// Till when it rests after a failure.
-    pub rests_until: Millis,
+    /// End of the backoff after a failure or refusal.
+    pub backoff_until: Millis,
     failures: u32,
-    /// What it has proved to run at once, where that is less than its word.
+    /// Observed limit of concurrent runs, where it is below the reported one.
     ceiling: u32,
-    /// When that last changed.
-    moved: Millis,
-    /// What others run there, by its last report.
-    foreign: u32,
+    /// When the ceiling last changed.
+    ceiling_changed_at: Millis,
+    /// Runs of other clients, according to its last report.
+    external: u32,
     reported: Option<Millis>,
-    pace: Pace,
-    /// How many times longer than nearly all of their class its runs take that
-    /// have not ended yet.
+    relative_speed: RelativeSpeed,
+    /// Mean ratio of the active runs' time to the 95th percentile of their
+    /// class; at least 1.0.
     overdue: f64,
-    tried: Option<Millis>,
-    peaks: Peaks,
+    last_trial: Option<Millis>,
+    peaks: UsagePeaks,
 }
 
 impl Endpoint {
-    /// An endpoint of which only the name is known.
+    /// Creates an endpoint of which only the name is known.
     pub fn new(name: name::Endpoint) -> Self {
         Self {
             name,
@@ -63,47 +67,48 @@
             unlisted_at: Millis::ZERO,
             slots: 0,
             used: 0,
-            rests_until: Millis::ZERO,
+            backoff_until: Millis::ZERO,
             failures: 0,
             ceiling: u32::MAX,
-            moved: Millis::ZERO,
-            foreign: 0,
+            ceiling_changed_at: Millis::ZERO,
+            external: 0,
             reported: None,
-            pace: Pace::default(),
+            relative_speed: RelativeSpeed::default(),
             overdue: 1.0,
-            tried: None,
-            peaks: Peaks::default(),
+            last_trial: None,
+            peaks: UsagePeaks::default(),
         }
     }
 
-    /// Takes in what the directory knows of it.
-    pub fn list(&mut self, now: Millis, known: &directory::Endpoint) {
+    /// Updates the endpoint from the directory and marks it as listed.
+    pub fn mark_listed(&mut self, now: Millis, known: &directory::Endpoint) {
         if self.address.is_some_and(|address| address != known.address) {
-            // Another process under the same name: what was learnt is not its own.
-            self.pace = Pace::default();
+            // Another process has taken over the name, so what was measured does
+            // not apply to it.
+            self.relative_speed = RelativeSpeed::default();
             self.failures = 0;
             self.ceiling = u32::MAX;
-            self.rests_until = Millis::ZERO;
+            self.backoff_until = Millis::ZERO;
         }
         self.address = Some(known.address);
         self.listed = true;
         self.slots = known.slots;
         match &known.load {
-            Some((at, load)) => self.report(now, *at, load),
-            None => self.foreign = 0,
+            Some((at, load)) => self.update_load(now, *at, load),
+            None => self.external = 0,
         }
     }
 
-    /// It may get no new work.
-    pub fn unlist(&mut self, now: Millis) {
+    /// Marks the endpoint as closed to new work.
+    pub fn mark_unlisted(&mut self, now: Millis) {
         self.listed = false;
         self.unlisted_at = now;
     }
 
-    fn report(&mut self, now: Millis, at: Millis, load: &Load) {
+    fn update_load(&mut self, now: Millis, at: Millis, load: &Load) {
         let age = now - at + load.age;
-        if age > STALE {
-            self.foreign = 0;
+        if age > REPORT_MAX_AGE {
+            self.external = 0;
             return;
         }
         if load.slots > 0 {
@@ -113,65 +118,68 @@
             return;
         }
         self.reported = Some(at);
-        let own = self.peaks.highest(now, age).max(self.used);
-        self.foreign = (load.running + load.queued).saturating_sub(own);
+        let own = self.peaks.max_since(now, age).max(self.used);
+        self.external = (load.running + load.queued).saturating_sub(own);
         if load.queued > 0 {
-            self.lower(now, load.running);
+            self.lower_ceiling(now, load.running);
         } else {
-            self.raise(now);
+            self.raise_ceiling(now);
         }
     }
 
-    /// A run or a lent place more.
-    pub fn take(&mut self, now: Millis) {
+    /// Counts a new run or loan.
+    pub fn acquire(&mut self, now: Millis) {
         self.used += 1;
-        self.peaks.note(now, self.used);
+        self.peaks.record(now, self.used);
     }
 
-    /// A run or a lent place less.
-    pub fn give(&mut self, now: Millis) {
-        self.peaks.note(now, self.used);
+    /// Counts the end of a run or loan.
+    pub fn release(&mut self, now: Millis) {
+        self.peaks.record(now, self.used);
         self.used = self.used.saturating_sub(1);
     }
 
-    /// A run of an earlier home turned up: it was counted as another's so far.
-    pub fn recognise(&mut self) {
-        self.foreign = self.foreign.saturating_sub(1);
+    /// Counts an adopted run of an earlier home as this pool's own. It was
+    /// counted as external until now.
+    pub fn reclassify_external(&mut self) {
+        self.external = self.external.saturating_sub(1);
     }
 
-    /// A run ended well.
+    /// Records a successful run.
     pub fn succeed(&mut self, now: Millis) {
         self.failures /= 2;
-        // Where there are reports, these say better whether it can take more.
+        // Load reports, where available, tell better whether it can take more.
         if self.reported.is_none() {
-            self.raise(now);
+            self.raise_ceiling(now);
         }
     }
 
-    /// A run failed. The rest grows with failures in a row, unless the request
-    /// had failed elsewhere before: then the fault may be its own.
+    /// Records a failed run. The backoff grows with consecutive failures. A
+    /// failure is not counted if the request had failed elsewhere before
+    /// (`suspect` is false), because the request itself may be at fault.
     pub fn fail(&mut self, now: Millis, suspect: bool) {
         if suspect {
             self.failures = self.failures.min(8) + 1;
         }
-        let times = 1 << self.failures.saturating_sub(1).min(8);
-        let rest = Millis(REST.0 * times).min(LONGEST_REST);
-        self.rests_until = self.rests_until.max(now + rest);
+        let factor = 1 << self.failures.saturating_sub(1).min(8);
+        let backoff = Millis(INITIAL_BACKOFF.0 * factor).min(MAX_BACKOFF);
+        self.backoff_until = self.backoff_until.max(now + backoff);
     }
 
-    /// It refused a run, so that it runs fewer at once than was thought.
+    /// Records a refused run and lowers the ceiling to what the endpoint runs
+    /// now.
     pub fn refuse(&mut self, now: Millis) {
-        self.lower(now, self.used);
-        self.rests_until = self.rests_until.max(now + PAUSE);
+        self.lower_ceiling(now, self.used);
+        self.backoff_until = self.backoff_until.max(now + REFUSAL_BACKOFF);
     }
 
-    /// Takes in a run's time beside the expected one, in ms.
-    pub fn pace(&mut self, expected: f64, observed: f64) {
-        self.pace.add(expected, observed);
+    /// Records a run's expected and observed duration, in ms.
+    pub fn record_duration(&mut self, expected: f64, observed: f64) {
+        self.relative_speed.add(expected, observed);
     }
 
-    /// Sets how overdue its runs are; 1.0 for not at all. Returns whether
-    /// that is a change.
+    /// Sets the factor by which active runs are overdue; 1.0 if they are not.
+    /// Returns whether the factor changed.
     pub fn set_overdue(&mut self, overdue: f64) -> bool {
         let overdue = overdue.max(1.0);
         let changed = (overdue - self.overdue).abs() > f64::EPSILON;
@@ -179,51 +187,53 @@
         changed
     }
 
-    /// Its speed, 1.0 for the pool's usual one.
+    /// Returns the speed relative to the pool's baseline, which is 1.0.
     pub fn speed(&self) -> f64 {
-        self.pace.speed().min(1.0 / self.overdue)
+        self.relative_speed.speed().min(1.0 / self.overdue)
     }
 
-    /// Whether it is so slow that it gets work only where there is time enough.
+    /// Returns whether it is so slow that it only gets requests with enough
+    /// time left.
     pub fn is_slow(&self) -> bool {
-        self.speed() < SLOW
+        self.speed() < SLOW_THRESHOLD
     }
 
-    /// Whether a slow endpoint is due to be tried again.
-    pub fn may_be_tried(&self, now: Millis) -> bool {
-        self.tried.is_none_or(|tried| now - tried >= TRIAL)
+    /// Returns whether a slow endpoint is due for a trial.
+    pub fn is_trial_due(&self, now: Millis) -> bool {
+        self.last_trial
+            .is_none_or(|last_trial| now - last_trial >= TRIAL_INTERVAL)
     }
 
-    /// It was given work.
-    pub fn note_trial(&mut self, now: Millis) {
+    /// Records that a slow endpoint got work.
+    pub fn record_trial(&mut self, now: Millis) {
         if self.is_slow() {
-            self.tried = Some(now);
+            self.last_trial = Some(now);
         }
     }
 
-    /// Whether it rests after a failure.
-    pub fn rests(&self, now: Millis) -> bool {
-        now < self.rests_until
+    /// Returns whether it is backing off after a failure or refusal.
+    pub fn is_backing_off(&self, now: Millis) -> bool {
+        now < self.backoff_until
     }
 
-    /// Runs that it may have at once: its slots, fewer if it is slow or has
-    /// proved to run fewer, less what others run there; one at least, for what
-    /// others run may be counted wrong.
+    /// Returns how many runs of this pool it may have at once: its slots, or
+    /// fewer if it is slow or its observed ceiling is lower, minus external
+    /// runs. At least one, because the count of external runs may be wrong.
     pub fn limit(&self) -> u32 {
         let slots = self.slots.min(self.ceiling);
-        let own = slots.min(self.by_speed());
-        own.saturating_sub(self.foreign).max(1).min(self.slots)
+        let own = slots.min(self.slots_at_speed());
+        own.saturating_sub(self.external).max(1).min(self.slots)
     }
 
-    /// Places that could be given away now.
-    pub fn room(&self, now: Millis) -> u32 {
-        if !self.listed || self.rests(now) {
+    /// Returns the number of slots that can be allocated now.
+    pub fn available(&self, now: Millis) -> u32 {
+        if !self.listed || self.is_backing_off(now) {
             return 0;
         }
         self.limit().saturating_sub(self.used)
     }
 
-    /// Its weight among the pool's endpoints: what it serves, beside one usual slot.
+    /// Returns its capacity in slots of baseline speed; 0 if it is not listed.
     pub fn weight(&self) -> f64 {
         if self.listed {
             f64::from(self.slots) * self.speed().min(1.0)
@@ -232,12 +242,12 @@
         }
     }
 
-    /// Its load with one more run, beside its weight.
+    /// Returns its load with one more run, relative to its weight.
     pub fn load(&self) -> f64 {
-        f64::from(self.used + self.foreign + 1) / self.weight().max(f64::MIN_POSITIVE)
+        f64::from(self.used + self.external + 1) / self.weight().max(f64::MIN_POSITIVE)
     }
 
-    fn by_speed(&self) -> u32 {
+    fn slots_at_speed(&self) -> u32 {
         if !self.is_slow() {
             return u32::MAX;
         }
@@ -246,39 +256,39 @@
         slots.max(1)
     }
 
-    fn lower(&mut self, now: Millis, running: u32) {
+    fn lower_ceiling(&mut self, now: Millis, running: u32) {
         self.ceiling = running.max(1);
-        self.moved = now;
+        self.ceiling_changed_at = now;
     }
 
-    /// Tries one more at once, but not before the last change can be seen in
-    /// the reports.
-    fn raise(&mut self, now: Millis) {
-        if self.ceiling < self.slots && now - self.moved >= STALE {
+    /// Raises the ceiling by one, but only once the effect of the last change
+    /// shows in the load reports.
+    fn raise_ceiling(&mut self, now: Millis) {
+        if self.ceiling < self.slots && now - self.ceiling_changed_at >= REPORT_MAX_AGE {
             self.ceiling += 1;
-            self.moved = now;
+            self.ceiling_changed_at = now;
         }
     }
 }
 
-/// The most places in use in each of the last seconds.
+/// Peak number of slots in use in each of the last seconds.
 #[derive(Debug, Default)]
-struct Peaks {
-    seconds: [(u64, u32); PEAKS],
+struct UsagePeaks {
+    seconds: [(u64, u32); PEAK_SECONDS],
 }
 
-impl Peaks {
-    fn note(&mut self, now: Millis, used: u32) {
+impl UsagePeaks {
+    fn record(&mut self, now: Millis, used: u32) {
         let second = now.0 / 1_000;
-        let slot = &mut self.seconds[(second % PEAKS as u64) as usize];
+        let slot = &mut self.seconds[(second % PEAK_SECONDS as u64) as usize];
         if slot.0 != second {
             *slot = (second, 0);
         }
         slot.1 = slot.1.max(used);
     }
 
-    /// The most in use since a little before this long ago.
-    fn highest(&self, now: Millis, age: Millis) -> u32 {
+    /// Returns the peak since `age` ago, with a margin of one second.
+    fn max_since(&self, now: Millis, age: Millis) -> u32 {
         let from = (now - age).0 / 1_000;
         let recent = self
             .seconds
--- a/crates/core/src/pool/estimate.rs
+++ b/crates/core/src/pool/estimate.rs
@@ -1,50 +1,50 @@
-//! What the ended runs of a class tell of its next one.
+//! Estimates for a class's next run from its completed runs.
 
 use crate::clock::Millis;
 use crate::control::event::{Done, Outcome};
 
-/// Runs that are remembered: enough for a stable 95th percentile, and forgotten
-/// within a minute or so when a class changes its ways.
-const KEPT: usize = 64;
-/// Runs between two sorts of what is remembered.
-const RENEW: usize = 8;
-/// Tokens that a run is taken for before any has ended.
-const UNKNOWN_TOKENS: f64 = 64.0;
+/// Number of runs kept: enough for a stable 95th percentile, and replaced
+/// within about a minute when a class changes its behaviour.
+const WINDOW: usize = 64;
+/// Number of new values after which the window is sorted again.
+const SORT_INTERVAL: usize = 8;
+/// Cost in tokens assumed before any run has completed.
+const DEFAULT_TOKENS: f64 = 64.0;
 
-/// The last values of one kind, and where most of them lie.
+/// Sliding window over the last values of one quantity.
 #[derive(Clone, Debug, Default)]
-pub struct Sample {
-    kept: Vec<f64>,
+pub struct SampleWindow {
+    values: Vec<f64>,
     next: usize,
     sorted: Vec<f64>,
 }
 
-impl Sample {
-    /// Takes in a value.
+impl SampleWindow {
+    /// Adds a value.
     ///
     /// ```
-    /// use woodgap_core::pool::estimate::Sample;
+    /// use woodgap_core::pool::estimate::SampleWindow;
     ///
-    /// let mut sample = Sample::default();
-    /// assert_eq!(sample.quantile(0.5), None);
+    /// let mut window = SampleWindow::default();
+    /// assert_eq!(window.quantile(0.5), None);
     /// for value in [3.0, 1.0, 2.0] {
-    ///     sample.add(value);
+    ///     window.add(value);
     /// }
-    /// assert_eq!(sample.quantile(0.5), Some(2.0));
+    /// assert_eq!(window.quantile(0.5), Some(2.0));
     /// ```
     pub fn add(&mut self, value: f64) {
-        if self.kept.len() < KEPT {
-            self.kept.push(value);
+        if self.values.len() < WINDOW {
+            self.values.push(value);
         } else {
-            self.kept[self.next % KEPT] = value;
+            self.values[self.next % WINDOW] = value;
         }
         self.next += 1;
-        if self.next <= RENEW || self.next.is_multiple_of(RENEW) {
+        if self.next <= SORT_INTERVAL || self.next.is_multiple_of(SORT_INTERVAL) {
             self.sort();
         }
     }
 
-    /// The value below which this share of the remembered ones lies.
+    /// Returns the value at this quantile, 0 to 1.
     pub fn quantile(&self, share: f64) -> Option<f64> {
         let last = self.sorted.len().checked_sub(1)?;
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -52,7 +52,7 @@
         self.sorted.get(index).copied()
     }
 
-    /// The mean of the remembered values.
+    /// Returns the mean of the window.
     pub fn mean(&self) -> Option<f64> {
         if self.sorted.is_empty() {
             return None;
@@ -62,63 +62,64 @@
     }
 
     fn sort(&mut self) {
-        self.sorted.clone_from(&self.kept);
+        self.sorted.clone_from(&self.values);
         self.sorted.sort_by(f64::total_cmp);
     }
 }
 
-/// The ended runs of one class.
+/// Statistics of the completed runs of one class.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    tokens: Sample,
-    elapsed: Sample,
-    first: Sample,
+    tokens: SampleWindow,
+    elapsed: SampleWindow,
+    first_token: SampleWindow,
     mean_tokens: Option<f64>,
 }
 
 impl History {
-    /// Takes in the end of a run. Only whole answers tell how long answers are.
+    /// Adds a run. Only complete answers are counted, because others say
+    /// nothing about the length of an answer.
     pub fn add(&mut self, done: &Done) {
         if done.outcome != Outcome::Complete {
             return;
         }
         self.tokens.add(done.tokens.max(1) as f64);
         self.elapsed.add(done.elapsed.0 as f64);
-        if let Some(first) = done.first_token {
-            self.first.add(first.0 as f64);
+        if let Some(first_token) = done.first_token {
+            self.first_token.add(first_token.0 as f64);
         }
         self.mean_tokens = self.tokens.mean();
     }
 
-    /// What a run is expected to cost, in tokens (or calls).
-    pub fn cost(&self) -> f64 {
-        self.mean_tokens.unwrap_or(UNKNOWN_TOKENS)
+    /// Returns the expected cost of a run, in tokens (or calls).
+    pub fn expected_cost(&self) -> f64 {
+        self.mean_tokens.unwrap_or(DEFAULT_TOKENS)
     }
 
-    /// Time that a quarter of the runs stay below: the least that one is
-    /// planned with.
-    pub fn short(&self) -> Option<Millis> {
+    /// Returns the 25th percentile of run durations: the shortest duration that
+    /// is planned with.
+    pub fn p25(&self) -> Option<Millis> {
         self.elapsed.quantile(0.25).map(millis)
     }
 
-    /// The usual time of a run.
+    /// Returns the median run duration.
     pub fn median(&self) -> Option<Millis> {
         self.elapsed.quantile(0.5).map(millis)
     }
 
-    /// Mean time of a run.
+    /// Returns the mean run duration.
     pub fn mean(&self) -> Option<Millis> {
         self.elapsed.mean().map(millis)
     }
 
-    /// Time that few runs exceed.
-    pub fn long(&self) -> Option<Millis> {
+    /// Returns the 95th percentile of run durations.
+    pub fn p95(&self) -> Option<Millis> {
         self.elapsed.quantile(0.95).map(millis)
     }
 
-    /// The usual time to the first token.
-    pub fn first_token(&self) -> Option<Millis> {
-        self.first.quantile(0.5).map(millis)
+    /// Returns the median time to the first token.
+    pub fn median_first_token(&self) -> Option<Millis> {
+        self.first_token.quantile(0.5).map(millis)
     }
 }
 
--- a/crates/core/src/pool/flow.rs
+++ b/crates/core/src/pool/flow.rs
@@ -4,163 +4,171 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::pool::line::Spot;
+use crate::pool::fair_queue::Spot;
 use crate::tier::Tier;
 
-/// A flow: what shares its tier's service with the other flows.
+/// A flow: the unit between which a tier's service is shared.
 #[derive(Debug)]
 pub struct Flow {
     /// The tier.
     pub tier: Tier,
-    /// The class's number.
+    /// The class's id.
     pub class: u32,
     /// The workspace.
     pub workspace: name::Workspace,
     /// The class's weight within the workspace.
     pub weight: f64,
-    /// Where its next service starts, on its tier's virtual time.
-    pub start: f64,
-    /// Its runs.
+    /// Start tag of its next service, in its tier's virtual time.
+    pub virtual_start: f64,
+    /// Number of active runs.
     pub running: u32,
-    /// Since when it has had nothing waiting and nothing running.
+    /// Since when nothing has been waiting or running.
     pub idle_since: Millis,
-    /// Its turn for the class's share.
+    /// Position in the round-robin order of its class's minimum share.
     pub turn: u64,
-    /// Where it stands in its tier's line.
+    /// Position in its tier's fair queue.
     pub spot: Option<Spot>,
-    /// Where it stands in the order of shedding.
-    pub length: Option<(usize, u64)>,
-    /// Those that can still meet their target, by deadline.
-    live: BTreeSet<Place>,
-    /// Those that can't, by deadline.
-    late: BTreeSet<Place>,
-    /// Those that have not run yet.
-    fresh: BTreeSet<u64>,
+    /// Key in its tier's shed order.
+    pub shed_key: Option<(usize, u64)>,
+    /// Requests that can still meet their target, by deadline.
+    on_time: BTreeSet<DeadlineKey>,
+    /// Requests that can't meet their target, by deadline.
+    late: BTreeSet<DeadlineKey>,
+    /// Requests that have not run yet.
+    first_attempts: BTreeSet<u64>,
     exempt: Option<u64>,
 }
 
-/// A request's place within its flow. A retry came before the fresh ones of
-/// its class, so that its deadline puts it first.
-type Place = (Millis, u64);
+/// Orders the requests of a flow by deadline. A retry arrived before the first
+/// attempts of its class, so its deadline puts it first.
+type DeadlineKey = (Millis, u64);
 
-/// The request of a flow that is to be served first.
+/// State of the request that a flow serves first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Head {
-    /// It can still meet its target, which passes at this time.
-    Live(Millis),
-    /// It can't.
+    /// It can still meet this deadline.
+    OnTime(Millis),
+    /// It can't meet its deadline.
     Late,
 }
 
 impl Flow {
-    /// A flow without requests.
+    /// Creates a flow without requests.
     pub fn new(tier: Tier, class: u32, workspace: name::Workspace, now: Millis) -> Self {
         Self {
             tier,
             class,
             workspace,
             weight: 1.0,
-            start: 0.0,
+            virtual_start: 0.0,
             running: 0,
             idle_since: now,
             turn: 0,
             spot: None,
-            length: None,
-            live: BTreeSet::new(),
+            shed_key: None,
+            on_time: BTreeSet::new(),
             late: BTreeSet::new(),
-            fresh: BTreeSet::new(),
+            first_attempts: BTreeSet::new(),
             exempt: None,
         }
     }
 
-    /// Adds a request.
-    pub fn insert(&mut self, number: u64, deadline: Millis, fresh: bool) {
-        self.live.insert((deadline, number));
-        if fresh {
-            self.fresh.insert(number);
+    /// Adds a request; `first_attempt` is false for a retry.
+    pub fn insert(&mut self, number: u64, deadline: Millis, first_attempt: bool) {
+        self.on_time.insert((deadline, number));
+        if first_attempt {
+            self.first_attempts.insert(number);
         }
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, number: u64, deadline: Millis) {
-        self.live.remove(&(deadline, number));
+        self.on_time.remove(&(deadline, number));
         self.late.remove(&(deadline, number));
-        self.fresh.remove(&number);
+        self.first_attempts.remove(&number);
         if self.exempt == Some(number) {
             self.exempt = None;
         }
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty() && self.late.is_empty()
+        self.on_time.is_empty() && self.late.is_empty()
     }
 
-    /// Whether nothing waits and nothing runs.
+    /// Returns whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.is_empty() && self.running == 0
     }
 
-    /// The one whose deadline is first, which is the one that came first.
+    /// Returns the request with the earliest deadline, which is also the one
+    /// that arrived first.
     pub fn oldest(&self) -> Option<u64> {
-        let oldest = self.late.first().or_else(|| self.live.first());
+        let oldest = self.late.first().or_else(|| self.on_time.first());
         oldest.map(|(_, number)| *number)
     }
 
-    /// What its first request is like if it is served by `earliest`.
-    pub fn head(&mut self, earliest: Millis) -> Option<Head> {
-        self.age(earliest);
-        if let Some((deadline, _)) = self.live.first() {
-            return Some(Head::Live(*deadline));
+    /// Returns the state of the first request if it finishes at
+    /// `earliest_finish`.
+    pub fn head(&mut self, earliest_finish: Millis) -> Option<Head> {
+        self.move_late(earliest_finish);
+        if let Some((deadline, _)) = self.on_time.first() {
+            return Some(Head::OnTime(*deadline));
         }
         (!self.late.is_empty()).then_some(Head::Late)
     }
 
-    /// Its requests in the order in which they are served: the most urgent of
-    /// those that can meet their target, then the others as they came.
-    pub fn order(&self) -> impl Iterator<Item = u64> {
-        let order = self.live.iter().chain(&self.late);
+    /// Returns the requests in service order: those that can meet their target
+    /// by deadline, then the others by deadline.
+    pub fn service_order(&self) -> impl Iterator<Item = u64> {
+        let order = self.on_time.iter().chain(&self.late);
         order.map(|(_, number)| *number)
     }
 
-    /// The one to be shed first: the newest of those that can't meet their
-    /// target any more, else the newest. None that has run before.
-    pub fn victim(&mut self, earliest: Millis) -> Option<u64> {
-        self.age(earliest);
-        let sheddable = |number: &u64| Some(*number) != self.exempt && self.fresh.contains(number);
+    /// Returns the request to shed first: the newest of those that can't meet
+    /// their target, else the newest of all. Retries and the exempt request are
+    /// never chosen.
+    pub fn shed_candidate(&mut self, earliest_finish: Millis) -> Option<u64> {
+        self.move_late(earliest_finish);
+        let may_shed =
+            |number: &u64| Some(*number) != self.exempt && self.first_attempts.contains(number);
         let mut late = self.late.iter().rev().map(|(_, number)| *number);
-        let mut fresh = self.fresh.iter().rev().copied();
-        late.find(sheddable).or_else(|| fresh.find(sheddable))
+        let mut first_attempts = self.first_attempts.iter().rev().copied();
+        late.find(may_shed)
+            .or_else(|| first_attempts.find(may_shed))
     }
 
-    /// Says which request stands outside the bound, if any.
+    /// Sets the request that is exempt from the bound of the waiting list, if
+    /// any.
     pub fn set_exempt(&mut self, exempt: Option<u64>) {
         self.exempt = exempt;
     }
 
-    /// How many fresh ones may be shed, and the newest of them.
-    pub fn sheddable(&self) -> Option<(usize, u64)> {
+    /// Returns how many first attempts may be shed, and the newest first
+    /// attempt.
+    pub fn compute_shed_key(&self) -> Option<(usize, u64)> {
         let exempt = self
             .exempt
-            .is_some_and(|number| self.fresh.contains(&number));
-        let count = self.fresh.len() - usize::from(exempt);
-        let newest = self.fresh.last()?;
+            .is_some_and(|number| self.first_attempts.contains(&number));
+        let count = self.first_attempts.len() - usize::from(exempt);
+        let newest = self.first_attempts.last()?;
         (count > 0).then_some((count, *newest))
     }
 
-    /// Sets aside those whose target passes before `earliest`.
-    fn age(&mut self, earliest: Millis) {
-        while let Some(place) = self.live.first().copied() {
-            if place.0 >= earliest {
+    /// Moves requests whose deadline passes before `earliest_finish` to the
+    /// late ones.
+    fn move_late(&mut self, earliest_finish: Millis) {
+        while let Some(key) = self.on_time.first().copied() {
+            if key.0 >= earliest_finish {
                 return;
             }
-            self.live.pop_first();
-            self.late.insert(place);
+            self.on_time.pop_first();
+            self.late.insert(key);
         }
     }
 }
 
-/// All flows of a pool by number.
+/// All flows of a pool, by id.
 #[derive(Debug, Default)]
 pub struct Flows {
     list: Vec<Option<Flow>>,
@@ -168,11 +176,11 @@
 }
 
 impl Flows {
-    /// Stores a flow and gives it a number.
+    /// Stores a flow and returns its id.
     ///
     /// # Panics
     ///
-    /// Never in practice: above 2^32 flows.
+    /// Above 2^32 flows.
     pub fn add(&mut self, flow: Flow) -> u32 {
         if let Some(id) = self.free.pop() {
             self.list[id as usize] = Some(flow);
@@ -182,16 +190,16 @@
         u32::try_from(self.list.len() - 1).expect("fewer than 2^32 flows")
     }
 
-    /// The flow of this number.
+    /// Returns the flow with this id.
     ///
     /// # Panics
     ///
-    /// If there is none: numbers are kept while anything refers to them.
+    /// If there is none. Ids stay valid while anything refers to them.
     pub fn get(&self, id: u32) -> &Flow {
         self.list[id as usize].as_ref().expect("flow in use")
     }
 
-    /// The flow of this number.
+    /// Returns the flow with this id.
     ///
     /// # Panics
     ///
@@ -200,10 +208,10 @@
         self.list[id as usize].as_mut().expect("flow in use")
     }
 
-    /// Drops the flows of which this holds.
-    pub fn remove_if(&mut self, mut old: impl FnMut(u32, &Flow) -> bool) {
+    /// Removes the flows for which `remove` returns true.
+    pub fn remove_if(&mut self, mut remove: impl FnMut(u32, &Flow) -> bool) {
         for (id, slot) in (0..).zip(&mut self.list) {
-            if slot.as_ref().is_some_and(|flow| old(id, flow)) {
+            if slot.as_ref().is_some_and(|flow| remove(id, flow)) {
                 *slot = None;
                 self.free.push(id);
             }
--- a/crates/core/src/pool/limits.rs
+++ b/crates/core/src/pool/limits.rs
@@ -1,21 +1,23 @@
-//! The numbers that shape a pool's decisions.
+//! Scheduling parameters of a pool.
 
 use crate::clock::Millis;
 
-/// Bounds and shares of one pool.
+/// Limits and shares of one pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests that may wait per slot.
+    /// Maximum number of waiting requests for each slot.
     pub waiting_per_slot: u32,
-    /// Share of the pool's service owed to each waiting class, 0 to 1.
+    /// Minimum share of the pool's service for each waiting class, 0 to 1.
     pub share: f64,
-    /// Bound of all classes' shares together, 0 to 1.
+    /// Upper bound of the sum of all classes' minimum shares, 0 to 1.
     pub share_total: f64,
-    /// Share of the slots that may be kept free of long requests, 0 to 1.
+    /// Maximum share of the slots that are reserved for short requests, 0 to 1.
     pub reserve: f64,
-    /// Load above the mean up to which equal prompts go to one endpoint; 1 for none.
+    /// Ratio of an endpoint's load to the mean up to which requests with equal
+    /// prompt prefixes go to it; 1 turns prefix affinity off.
     pub affinity: f64,
-    /// How long requests wait for a first endpoint before they are refused.
+    /// How long requests wait in a pool without endpoints before they are
+    /// rejected.
     pub no_endpoint_timeout: Millis,
 }
 
--- a/crates/core/src/pool/loan.rs
+++ b/crates/core/src/pool/loan.rs
@@ -1,19 +1,19 @@
-//! Places lent in bulk while nobody waits for them, so that most requests need
-//! no message to their pool's home.
+//! Loans: slots lent in bulk while no request waits, so that most requests need
+//! no message to the pool's home.
 
 use std::collections::BTreeMap;
 
 use crate::clock::Millis;
 use crate::name;
-use crate::pool::place::{Place, Use};
+use crate::pool::allocation::{Allocation, Use};
 use crate::pool::{Decision, Loan, Pool};
 
-/// How long after its end a loan is taken back: what still runs under it is
-/// reported by then.
+/// How long after its end a loan is taken back. Runs that are still active have
+/// been reported by then.
 const GRACE: Millis = Millis(500);
 
 impl Pool {
-    /// Lends up to this many places, only while nobody waits and half of the
+    /// Lends up to `want` slots, only while no request waits and half of the
     /// slots stay free.
     pub fn lend(
         &mut self,
@@ -41,44 +41,46 @@
         loans.collect()
     }
 
-    /// Lets a loan run longer, only while places could be lent. False: the
-    /// loan ends as it stands, or has ended.
+    /// Extends a loan, only while the pool could lend. Returns false if the
+    /// loan keeps its end or has ended already.
     pub fn extend_loan(&mut self, _now: Millis, permit: u64, until: Millis) -> bool {
-        let place = self.places.get(permit);
-        let listed = place.is_some_and(|place| self.endpoints.get(place.endpoint).listed);
-        listed && !self.contended() && self.places.extend(permit, until)
+        let allocation = self.allocations.get(permit);
+        let listed =
+            allocation.is_some_and(|allocation| self.endpoints.get(allocation.endpoint).listed);
+        listed && !self.contended() && self.allocations.extend_loan(permit, until)
     }
 
-    /// Takes a lent place back before its time. Idempotent. What still runs
+    /// Takes a loan back before its end. Idempotent. A run that is still active
     /// under it must have been reported by [`Self::adopt`] before.
     pub fn return_loan(&mut self, now: Millis, permit: u64, out: &mut Vec<Decision>) {
-        let place = self.places.get(permit);
-        if place.is_some_and(|place| matches!(place.used, Use::Lent(_))) {
-            self.end_place(now, permit, None);
+        let allocation = self.allocations.get(permit);
+        if allocation.is_some_and(|allocation| matches!(allocation.purpose, Use::Lent(_))) {
+            self.release_allocation(now, permit, None);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// Lent places by holder, for recalling them when the pool is contended.
+    /// Returns the permits on loan by holder, for recalling them when the pool
+    /// is contended.
     pub fn loans(&self) -> BTreeMap<name::Incarnation, Vec<u64>> {
         let mut loans: BTreeMap<name::Incarnation, Vec<u64>> = BTreeMap::new();
-        for (permit, place) in self.places.iter() {
-            if matches!(place.used, Use::Lent(_)) {
-                loans.entry(place.holder).or_default().push(permit);
+        for (permit, allocation) in self.allocations.iter() {
+            if matches!(allocation.purpose, Use::Lent(_)) {
+                loans.entry(allocation.holder).or_default().push(permit);
             }
         }
         loans
     }
 
-    /// Takes back the loans that are over. Their permits are not remembered as
-    /// ended: a run that is reported late may still be taken over.
+    /// Takes expired loans back. Their permits are not recorded as ended, so
+    /// that a run that is reported late can still be adopted.
     pub(super) fn expire_loans(&mut self, now: Millis) {
-        while let Some(permit) = self.places.expired(now - GRACE) {
-            let Some(place) = self.places.remove(permit) else {
+        while let Some(permit) = self.allocations.expired(now - GRACE) {
+            let Some(allocation) = self.allocations.remove(permit) else {
                 return;
             };
             self.endpoints
-                .change(now, place.endpoint, |endpoint| endpoint.give(now));
+                .update(now, allocation.endpoint, |endpoint| endpoint.release(now));
         }
     }
 
@@ -91,19 +93,19 @@
         if self.contended() {
             return None;
         }
-        let mut open = self.endpoints.least_loaded();
-        let endpoint = open.find(|id| !self.endpoints.get(*id).is_slow())?;
-        drop(open);
-        let permit = self.places.draw();
-        let place = Place {
+        let mut candidates = self.endpoints.least_loaded();
+        let endpoint = candidates.find(|id| !self.endpoints.get(*id).is_slow())?;
+        drop(candidates);
+        let permit = self.allocations.next_permit();
+        let allocation = Allocation {
             holder,
             endpoint,
             since: now,
-            used: Use::Lent(until),
+            purpose: Use::Lent(until),
         };
-        self.places.insert(permit, place);
+        self.allocations.insert(permit, allocation);
         self.endpoints
-            .change(now, endpoint, |endpoint| endpoint.take(now));
+            .update(now, endpoint, |endpoint| endpoint.acquire(now));
         Some((permit, endpoint))
     }
 }
--- a/crates/core/src/pool/reserve.rs
+++ b/crates/core/src/pool/reserve.rs
@@ -1,150 +1,154 @@
-//! Slots kept free of long requests while short ones are about.
+//! Reserves slots for short requests by holding back long ones.
 
 use crate::clock::Millis;
 use crate::tier::Tier;
 
-/// Lanes by length of run; each is four times as long as the one before.
-pub const LANES: usize = 8;
-/// Lanes between a request and those whose slots it may not take: only what is
-/// over four times as long is held back.
-const APART: usize = 2;
-/// Where the shortest lane ends.
-const FIRST_LANE: Millis = Millis(125);
-/// A wait for a slot of a tenth of the target leaves time enough for the rest.
-const WAIT_SHARE: u64 = 10;
-/// Span over which arrivals are counted: as long as a burst takes to be one.
-const SPAN: f64 = 20_000.0;
+/// Number of buckets by run duration. Each bound is four times the one before.
+pub const BUCKETS: usize = 8;
+/// Minimum distance in buckets between a request and those that it must leave
+/// slots to. With two, only requests over four times as long are held back.
+const MIN_BUCKET_GAP: usize = 2;
+/// Upper bound of the first bucket.
+const FIRST_BUCKET_END: Millis = Millis(125);
+/// A wait for a slot of a tenth of the target leaves enough time for the run.
+const WAIT_DIVISOR: u64 = 10;
+/// Time constant of the rates' exponential decay: the time after which a burst
+/// of arrivals counts as sustained.
+const RATE_TIME_CONSTANT_MS: f64 = 20_000.0;
 const TIERS: usize = Tier::LOWEST.number() as usize;
 
-/// The lane of a run that is expected to take so long.
+/// Returns the bucket of a run with this expected duration.
 ///
 /// ```
-/// use woodgap_core::{clock::Millis, pool::reserve::lane};
+/// use woodgap_core::{clock::Millis, pool::reserve::duration_bucket};
 ///
-/// assert_eq!(lane(Millis(100)), 0);
-/// assert_eq!(lane(Millis(600)), 2);
-/// assert_eq!(lane(Millis(1_000_000)), 7);
+/// assert_eq!(duration_bucket(Millis(100)), 0);
+/// assert_eq!(duration_bucket(Millis(600)), 2);
+/// assert_eq!(duration_bucket(Millis(1_000_000)), 7);
 /// ```
-pub fn lane(span: Millis) -> usize {
-    let mut end = FIRST_LANE.0;
-    let mut lane = 0;
-    while span.0 >= end && lane + 1 < LANES {
+pub fn duration_bucket(duration: Millis) -> usize {
+    let mut end = FIRST_BUCKET_END.0;
+    let mut bucket = 0;
+    while duration.0 >= end && bucket + 1 < BUCKETS {
         end *= 4;
-        lane += 1;
+        bucket += 1;
     }
-    lane
+    bucket
 }
 
-/// Arrivals of late, as a rate that fades.
+/// Exponentially decaying rate of recent events.
 #[derive(Clone, Debug, Default)]
-pub struct Rate {
+pub struct DecayingRate {
     value: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Rate {
-    /// Counts an arrival.
+impl DecayingRate {
+    /// Counts an event.
     pub fn add(&mut self, now: Millis) {
-        self.value = self.per_ms(now) + 1.0 / SPAN;
-        self.at = now;
+        self.value = self.per_ms(now) + 1.0 / RATE_TIME_CONSTANT_MS;
+        self.updated_at = now;
     }
 
-    /// Arrivals a millisecond.
+    /// Returns the rate in events per millisecond.
     pub fn per_ms(&self, now: Millis) -> f64 {
-        self.value * (-((now - self.at).0 as f64) / SPAN).exp()
+        self.value * (-((now - self.updated_at).0 as f64) / RATE_TIME_CONSTANT_MS).exp()
     }
 }
 
-/// What is expected of one tier and lane, and what runs of it.
+/// Expected and active runs of one tier and bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cell {
-    /// Runs at once, on average.
-    wanted: f64,
-    /// The wait for a slot that its requests can well bear, if any are expected.
+    /// Mean number of concurrent runs.
+    expected_runs: f64,
+    /// Acceptable wait for a slot, if any runs are expected.
     wait: Option<Millis>,
-    /// Runs.
-    used: u32,
+    /// Active runs.
+    running: u32,
 }
 
-/// Slots that each tier and lane is expected to use, and those it uses.
+/// Expected and used slots by tier and bucket.
 #[derive(Clone, Debug, Default)]
 pub struct Reserve {
-    cells: [[Cell; LANES]; TIERS],
+    cells: [[Cell; BUCKETS]; TIERS],
 }
 
 impl Reserve {
-    /// Forgets what was expected.
-    pub fn clear(&mut self) {
+    /// Clears the expected runs.
+    pub fn clear_expected(&mut self) {
         for cell in self.cells.as_flattened_mut() {
-            cell.wanted = 0.0;
+            cell.expected_runs = 0.0;
             cell.wait = None;
         }
     }
 
-    /// Expects so many runs at once, on average, of a class with this target.
-    pub fn expect(&mut self, tier: Tier, lane: usize, runs: f64, target: Millis) {
-        let cell = &mut self.cells[row(tier)][lane];
-        cell.wanted += runs;
-        let wait = Millis(target.0 / WAIT_SHARE);
+    /// Adds the expected mean number of concurrent runs of a class with this
+    /// target.
+    pub fn add_expected(&mut self, tier: Tier, bucket: usize, runs: f64, target: Millis) {
+        let cell = &mut self.cells[tier_index(tier)][bucket];
+        cell.expected_runs += runs;
+        let wait = Millis(target.0 / WAIT_DIVISOR);
         cell.wait = Some(cell.wait.map_or(wait, |known| known.min(wait)));
     }
 
-    /// A run started.
-    pub fn start(&mut self, tier: Tier, lane: usize) {
-        self.cells[row(tier)][lane].used += 1;
+    /// Counts a started run.
+    pub fn start(&mut self, tier: Tier, bucket: usize) {
+        self.cells[tier_index(tier)][bucket].running += 1;
     }
 
-    /// A run ended.
-    pub fn end(&mut self, tier: Tier, lane: usize) {
-        let used = &mut self.cells[row(tier)][lane].used;
-        *used = used.saturating_sub(1);
+    /// Counts an ended run.
+    pub fn end(&mut self, tier: Tier, bucket: usize) {
+        let running = &mut self.cells[tier_index(tier)][bucket].running;
+        *running = running.saturating_sub(1);
     }
 
-    /// Free slots that a request of this tier and lane has to leave to much
-    /// shorter ones of its own or a higher tier: what these are expected to
-    /// use at a busy moment, `most` at most, less what they use. Nothing where
-    /// longer runs end so often that a slot comes free soon enough anyhow.
-    pub fn held(&self, tier: Tier, lane: usize, most: u32) -> u32 {
-        let Some(shorter) = (lane + 1).checked_sub(APART) else {
+    /// Returns how many free slots a request of this tier and bucket must leave
+    /// to much shorter requests of the same or higher tiers: their expected
+    /// peak use, at most `most`, minus their current use. Zero if longer runs
+    /// end often enough for a slot to come free in time.
+    pub fn reserved(&self, tier: Tier, bucket: usize, most: u32) -> u32 {
+        let Some(bucket_limit) = (bucket + 1).checked_sub(MIN_BUCKET_GAP) else {
             return 0;
         };
-        let above = &self.cells[..=row(tier)];
-        let short = || above.iter().flat_map(|row| &row[..shorter]);
-        let Some(wait) = short().filter_map(|cell| cell.wait).min() else {
+        let above = &self.cells[..=tier_index(tier)];
+        let shorter_cells = || above.iter().flat_map(|row| &row[..bucket_limit]);
+        let Some(wait) = shorter_cells().filter_map(|cell| cell.wait).min() else {
             return 0;
         };
-        if self.ends(shorter) * wait.0 as f64 >= 1.0 {
+        if self.end_rate(bucket_limit) * wait.0 as f64 >= 1.0 {
             return 0;
         }
-        let wanted: f64 = short().map(|cell| cell.wanted).sum();
-        let used: u32 = short().map(|cell| cell.used).sum();
-        busy(wanted).min(most).saturating_sub(used)
+        let expected_runs: f64 = shorter_cells().map(|cell| cell.expected_runs).sum();
+        let running: u32 = shorter_cells().map(|cell| cell.running).sum();
+        peak_runs(expected_runs).min(most).saturating_sub(running)
     }
 
-    /// Runs of this and the longer lanes that end in a millisecond.
-    fn ends(&self, from: usize) -> f64 {
-        let ends = |lane: usize| {
-            let used: u32 = self.cells.iter().map(|row| row[lane].used).sum();
-            f64::from(used) / usual(lane)
+    /// Returns how many runs of this and the longer buckets end per
+    /// millisecond.
+    fn end_rate(&self, from: usize) -> f64 {
+        let end_rate = |bucket: usize| {
+            let running: u32 = self.cells.iter().map(|row| row[bucket].running).sum();
+            f64::from(running) / typical_duration_ms(bucket)
         };
-        (from..LANES).map(ends).sum()
+        (from..BUCKETS).map(end_rate).sum()
     }
 }
 
-/// The usual length of a run of the lane, in ms.
-fn usual(lane: usize) -> f64 {
-    (FIRST_LANE.0 << (2 * lane)) as f64 / 2.0
+/// Returns the typical duration of a run of the bucket, in ms.
+fn typical_duration_ms(bucket: usize) -> f64 {
+    (FIRST_BUCKET_END.0 << (2 * bucket)) as f64 / 2.0
 }
 
-/// Runs at a busy moment, if there are so many on average. Arrivals are taken
-/// for random: two standard deviations above the mean.
-fn busy(mean: f64) -> u32 {
+/// Returns the peak number of concurrent runs for this mean. Arrivals are
+/// assumed to be random (Poisson), so this is two standard deviations above the
+/// mean.
+fn peak_runs(mean: f64) -> u32 {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let busy = (mean + 2.0 * mean.sqrt()).ceil() as u32;
-    busy
+    let peak = (mean + 2.0 * mean.sqrt()).ceil() as u32;
+    peak
 }
 
-fn row(tier: Tier) -> usize {
+fn tier_index(tier: Tier) -> usize {
     usize::from(tier.number() - Tier::HIGHEST.number())
 }
 
--- a/crates/core/src/pool/share.rs
+++ b/crates/core/src/pool/share.rs
@@ -1,44 +1,45 @@
-//! The small share of a pool's service that each waiting class is owed,
-//! whatever waits above it.
+//! Minimum shares: a small part of a pool's service guaranteed to each waiting
+//! class, whatever waits in higher tiers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::pool::tag::Tag;
 
-/// What a waiting class is owed, and who of it is next.
+/// Account and round-robin order of a waiting class.
 #[derive(Debug, Default)]
-struct Owed {
-    /// Where on the scale of [`Shares::given`] the count of what it is owed starts.
-    since: f64,
-    /// Its flows by turn.
+struct ClassShare {
+    /// Start tag of its next service, on the scale of [`Shares::virtual_time`].
+    virtual_start: f64,
+    /// Its flows in round-robin order.
     turns: BTreeSet<(u64, u32)>,
-    /// The request that is next.
+    /// The request to serve next.
     head: Option<u64>,
-    /// Where on the scale its next request is due.
+    /// Finish tag of that request: it is due when virtual time reaches this.
     due: Option<Tag>,
 }
 
-/// The shares of all classes with waiting requests.
+/// Minimum shares of all classes with waiting requests.
 #[derive(Debug)]
 pub struct Shares {
     share: f64,
     total: f64,
-    /// Tokens that each class would have got if it had always waited.
-    given: f64,
+    /// Tokens guaranteed so far to a class that has been waiting all the time.
+    virtual_time: f64,
     next_turn: u64,
-    owed: BTreeMap<u32, Owed>,
-    /// Where each class that went away in debt starts when it comes back.
+    owed: BTreeMap<u32, ClassShare>,
+    /// Start tags of classes that stopped waiting after receiving more than
+    /// their share.
     debts: BTreeMap<u32, f64>,
     due: BTreeSet<(Tag, u32)>,
 }
 
 impl Shares {
-    /// Shares of this size each, and of this size together, 0 to 1.
+    /// Creates shares of this size for each class and of this total, 0 to 1.
     pub fn new(share: f64, total: f64) -> Self {
         Self {
             share,
             total,
-            given: 0.0,
+            virtual_time: 0.0,
             next_turn: 0,
             owed: BTreeMap::new(),
             debts: BTreeMap::new(),
@@ -46,23 +47,24 @@
         }
     }
 
-    /// A flow of the class got its first waiting request; returns its turn.
+    /// Adds a flow that got its first waiting request; returns its turn.
     pub fn join(&mut self, class: u32, flow: u32) -> u64 {
         let turn = self.next_turn;
         self.next_turn += 1;
-        self.enter(class).turns.insert((turn, flow));
+        self.class_mut(class).turns.insert((turn, flow));
         turn
     }
 
-    /// A flow of the class has no waiting request any more.
+    /// Removes a flow that has no waiting request left.
     pub fn leave(&mut self, class: u32, flow: u32, turn: u64) {
         if let Some(owed) = self.owed.get_mut(&class) {
             owed.turns.remove(&(turn, flow));
         }
-        self.drop_empty(class);
+        self.remove_if_empty(class);
     }
 
-    /// A flow had its turn; returns the next one.
+    /// Moves a flow that was served to the end of the round; returns its new
+    /// turn.
     pub fn rotate(&mut self, class: u32, flow: u32, turn: u64) -> u64 {
         let next = self.next_turn;
         self.next_turn += 1;
@@ -74,18 +76,18 @@
         next
     }
 
-    /// The flow whose turn it is within the class.
-    pub fn turn(&self, class: u32) -> Option<u32> {
+    /// Returns the flow whose turn it is within the class.
+    pub fn next_flow(&self, class: u32) -> Option<u32> {
         let (_, flow) = self.owed.get(&class)?.turns.first()?;
         Some(*flow)
     }
 
-    /// The class's next request.
+    /// Returns the class's next request.
     pub fn head(&self, class: u32) -> Option<u64> {
         self.owed.get(&class)?.head
     }
 
-    /// Sets the class's next request and what it is expected to cost.
+    /// Sets the class's next request and its expected cost.
     pub fn set_head(&mut self, class: u32, head: Option<u64>, cost: f64) {
         let Some(owed) = self.owed.get_mut(&class) else {
             return;
@@ -95,71 +97,75 @@
         }
         owed.head = head;
         if head.is_some() && self.share > 0.0 {
-            let due = Tag(owed.since + cost);
+            let due = Tag(owed.virtual_start + cost);
             owed.due = Some(due);
             self.due.insert((due, class));
         }
     }
 
-    /// The classes whose next request is due, the longest due first.
+    /// Returns the classes whose next request is due, the longest due first.
     pub fn due(&self) -> impl Iterator<Item = u32> {
-        let given = Tag(self.given);
-        let due = self.due.iter().take_while(move |(due, _)| *due <= given);
+        let virtual_time = Tag(self.virtual_time);
+        let due = self
+            .due
+            .iter()
+            .take_while(move |(due, _)| *due <= virtual_time);
         due.map(|(_, class)| *class)
     }
 
-    /// Classes with waiting requests.
+    /// Returns the number of classes with waiting requests.
     pub fn classes(&self) -> usize {
         self.owed.len()
     }
 
-    /// Counts service given, or less if it was counted too high.
-    pub fn give(&mut self, cost: f64) {
+    /// Advances virtual time for service given. A negative cost corrects an
+    /// excessive charge.
+    pub fn record_service(&mut self, cost: f64) {
         let classes = self.owed.len().max(1) as f64;
         let rate = self.share.min(self.total / classes);
-        self.given += rate * cost;
+        self.virtual_time += rate * cost;
     }
 
-    /// The class got service out of its share.
-    pub fn settle(&mut self, class: u32, cost: f64) {
+    /// Charges the class for service from its minimum share.
+    pub fn charge(&mut self, class: u32, cost: f64) {
         if let Some(owed) = self.owed.get_mut(&class) {
-            owed.since += cost;
+            owed.virtual_start += cost;
         } else {
-            *self.debts.entry(class).or_insert(self.given) += cost;
+            *self.debts.entry(class).or_insert(self.virtual_time) += cost;
         }
     }
 
-    /// The class got service by its tier's right: it is owed that much less,
-    /// but never goes into debt by it.
-    pub fn offset(&mut self, class: u32, cost: f64) {
+    /// Credits service that the class got by its tier's order against its
+    /// minimum share, without putting it into debt.
+    pub fn credit_tier_service(&mut self, class: u32, cost: f64) {
         if let Some(owed) = self.owed.get_mut(&class)
-            && owed.since < self.given
+            && owed.virtual_start < self.virtual_time
         {
-            owed.since = (owed.since + cost).min(self.given);
+            owed.virtual_start = (owed.virtual_start + cost).min(self.virtual_time);
         }
     }
 
-    /// Forgets debts that the service given since has paid.
-    pub fn forget_paid(&mut self) {
-        let given = self.given;
-        self.debts.retain(|_, debt| *debt > given);
+    /// Forgets debts that have been paid by the service given since.
+    pub fn forget_paid_debts(&mut self) {
+        let virtual_time = self.virtual_time;
+        self.debts.retain(|_, debt| *debt > virtual_time);
     }
 
     /// Forgets the debt of a class.
-    pub fn forget(&mut self, class: u32) {
+    pub fn forget_debt(&mut self, class: u32) {
         self.debts.remove(&class);
     }
 
-    fn enter(&mut self, class: u32) -> &mut Owed {
-        let given = self.given;
-        let debt = self.debts.remove(&class).unwrap_or(given);
-        self.owed.entry(class).or_insert_with(|| Owed {
-            since: debt.max(given),
-            ..Owed::default()
+    fn class_mut(&mut self, class: u32) -> &mut ClassShare {
+        let virtual_time = self.virtual_time;
+        let debt = self.debts.remove(&class).unwrap_or(virtual_time);
+        self.owed.entry(class).or_insert_with(|| ClassShare {
+            virtual_start: debt.max(virtual_time),
+            ..ClassShare::default()
         })
     }
 
-    fn drop_empty(&mut self, class: u32) {
+    fn remove_if_empty(&mut self, class: u32) {
         let Some(owed) = self.owed.get(&class) else {
             return;
         };
@@ -169,8 +175,8 @@
         if let Some(due) = owed.due {
             self.due.remove(&(due, class));
         }
-        if owed.since > self.given {
-            self.debts.insert(class, owed.since);
+        if owed.virtual_start > self.virtual_time {
+            self.debts.insert(class, owed.virtual_start);
         }
         self.owed.remove(&class);
     }
--- a/crates/core/src/pool/speed.rs
+++ b/crates/core/src/pool/speed.rs
@@ -1,25 +1,27 @@
-//! How fast an endpoint is beside the others of its pool.
+//! Speed of an endpoint relative to its pool.
 
 use crate::control::event::{Done, Outcome};
-use crate::pool::estimate::{History, Sample};
+use crate::pool::estimate::{History, SampleWindow};
 
-/// Weight of the newest run: a tenfold slowdown is below [`SLOW`] after two answers.
-const NEWEST: f64 = 0.3;
-/// Bounds of one run's say, so that a single hung run does not outweigh ten good ones.
-const BOUND: f64 = 20.0;
-/// An endpoint slower than this, beside 1.0 for the pool's usual speed, gets
-/// work only as a trial or where there is time enough.
-pub const SLOW: f64 = 0.35;
+/// Weight of the newest run. With 0.3, a tenfold slowdown falls below
+/// [`SLOW_THRESHOLD`] after two answers.
+const EWMA_WEIGHT: f64 = 0.3;
+/// Limit of a single run's ratio, so that one hung run does not outweigh ten
+/// good ones.
+const MAX_RATIO: f64 = 20.0;
+/// An endpoint below this speed, relative to 1.0 for the pool's baseline, gets
+/// work only as a trial or where enough time is left.
+pub const SLOW_THRESHOLD: f64 = 0.35;
 
-/// The pool's usual pace.
+/// The pool's median time per token.
 #[derive(Clone, Debug, Default)]
-pub struct Usual {
-    per_token: Sample,
+pub struct BaselineSpeed {
+    per_token: SampleWindow,
 }
 
-impl Usual {
-    /// How long the run would have taken at the usual pace, in ms; none while
-    /// too little is known.
+impl BaselineSpeed {
+    /// Returns the run's duration at baseline speed, in ms; none while too
+    /// little is known.
     pub fn expected(&self, history: &History, done: &Done) -> Option<f64> {
         let by_tokens = self.by_tokens(history, done);
         by_tokens.or_else(|| history.median().map(|median| median.0 as f64))
@@ -27,25 +29,25 @@
 
     fn by_tokens(&self, history: &History, done: &Done) -> Option<f64> {
         per_token(done)?;
-        let first = history.first_token()?.0 as f64;
+        let first = history.median_first_token()?.0 as f64;
         let per_token = self.per_token.quantile(0.5)?;
         Some(first + per_token * (done.tokens - 1) as f64)
     }
 
-    /// Takes in the end of a run.
+    /// Adds a completed run.
     pub fn add(&mut self, done: &Done) {
         if let Some(per_token) = per_token(done) {
             self.per_token.add(per_token);
         }
     }
 
-    /// Milliseconds a token.
+    /// Returns the median time per token, in ms.
     pub fn per_token(&self) -> Option<f64> {
         self.per_token.quantile(0.5)
     }
 }
 
-/// Milliseconds a token after the first one, if there were any.
+/// Returns the time per token after the first one, in ms, if there were any.
 fn per_token(done: &Done) -> Option<f64> {
     let first = done.first_token?;
     if done.outcome != Outcome::Complete || done.tokens < 2 {
@@ -54,35 +56,36 @@
     Some((done.elapsed - first).0 as f64 / (done.tokens - 1) as f64)
 }
 
-/// One endpoint's pace; means are of logarithms, so that it is as quick to
-/// recover as to fall.
+/// An endpoint's speed relative to the baseline: an exponentially weighted mean
+/// of logarithms, so that it recovers as fast as it falls.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
-    log: f64,
+pub struct RelativeSpeed {
+    mean_log: f64,
 }
 
-impl Pace {
-    /// Takes in a run that was expected to take so long and took so long, in ms.
+impl RelativeSpeed {
+    /// Adds a run with its expected and observed duration, in ms.
     ///
     /// ```
-    /// use woodgap_core::pool::speed::Pace;
+    /// use woodgap_core::pool::speed::RelativeSpeed;
     ///
-    /// let mut pace = Pace::default();
-    /// assert!((pace.speed() - 1.0).abs() < 1e-9);
+    /// let mut relative_speed = RelativeSpeed::default();
+    /// assert!((relative_speed.speed() - 1.0).abs() < 1e-9);
     /// for _ in 0..3 {
-    ///     pace.add(100.0, 1_000.0);
+    ///     relative_speed.add(100.0, 1_000.0);
     /// }
-    /// assert!(pace.speed() < 0.35);
+    /// assert!(relative_speed.speed() < 0.35);
     /// ```
     pub fn add(&mut self, expected: f64, observed: f64) {
-        // A millisecond each way keeps the clock's grain out of short runs.
+        // Adding a millisecond to both limits the effect of the clock's resolution
+        // on short runs.
         let ratio = (expected + 1.0) / (observed + 1.0);
-        let log = ratio.clamp(1.0 / BOUND, BOUND).ln();
-        self.log += NEWEST * (log - self.log);
+        let log = ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO).ln();
+        self.mean_log += EWMA_WEIGHT * (log - self.mean_log);
     }
 
-    /// Its speed; 1.0 is the usual one.
+    /// Returns the speed; 1.0 is the baseline.
     pub fn speed(&self) -> f64 {
-        self.log.exp()
+        self.mean_log.exp()
     }
 }
--- a/crates/core/src/pool/stats.rs
+++ b/crates/core/src/pool/stats.rs
@@ -1,21 +1,21 @@
-//! A pool's figures, for metrics and for the operators' calls.
+//! Statistics of a pool for metrics and the operators' API.
 
 use std::collections::BTreeMap;
 
 use crate::name;
 use crate::tier::Tier;
 
-/// A pool at one moment.
+/// Snapshot of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Waiting requests by tier; tiers without any are left out.
+    /// Waiting requests by tier; tiers without any are omitted.
     pub waiting: BTreeMap<Tier, u32>,
-    /// Runs and lent places by endpoint, also of those that take no new work.
+    /// Runs and loans by endpoint, including endpoints that get no new work.
     pub in_flight: BTreeMap<name::Endpoint, u32>,
-    /// Lent places.
+    /// Number of lent slots.
     pub lent: u32,
-    /// Slots of all endpoints that take new work.
+    /// Number of slots of all endpoints that may get new work.
     pub slots: u32,
-    /// Slots that could be given away now.
+    /// Number of slots that can be allocated now.
     pub free: u32,
 }
--- a/crates/core/src/pool/tag.rs
+++ b/crates/core/src/pool/tag.rs
@@ -1,8 +1,9 @@
-//! A virtual time that can be sorted.
+//! Sortable keys for virtual times and loads.
 
 use std::cmp::Ordering;
 
-/// Tokens of service, as a place on a scale of virtual time.
+/// A start or finish tag of fair queueing, in tokens of virtual time. Tags are
+/// totally ordered, which `f64` is not.
 ///
 /// ```
 /// use woodgap_core::pool::tag::Tag;
--- a/crates/core/tests/pool/fixture.rs
+++ b/crates/core/tests/pool/fixture.rs
@@ -1,4 +1,4 @@
-//! Requests and endpoints whose properties follow from their number.
+//! Requests and endpoints whose properties are derived from their number.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -12,7 +12,7 @@
 pub const ENDPOINTS: usize = 4;
 pub const SLOTS: u32 = 2;
 
-/// Three tiers, and two classes in each.
+/// Returns one of three tiers with two classes each.
 pub fn class(number: u64) -> (Tier, name::Class) {
     let tier = u8::try_from(1 + number % 3).expect("small");
     let class = if (number / 3).is_multiple_of(2) {
@@ -42,7 +42,7 @@
     }
 }
 
-/// An ask after so many failures.
+/// Returns an ask after this many failed attempts.
 pub fn waiter(now: Millis, number: u64, holder: u64, attempts: usize) -> Waiter {
     let (tier, class) = class(number);
     let ask = Ask {
@@ -65,7 +65,7 @@
     }
 }
 
-/// All endpoints.
+/// Returns a directory of all endpoints.
 pub fn directory() -> Directory {
     let instance = |index: usize| Instance {
         name: format!("e{index}"),
--- a/crates/core/tests/pool/model.rs
+++ b/crates/core/tests/pool/model.rs
@@ -1,4 +1,4 @@
-//! What a pool should hold, kept beside it step by step.
+//! Reference model of a pool, compared with it after each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,11 +16,11 @@
     request: Option<u64>,
     holder: u64,
     endpoint: usize,
-    /// Failures before it; not known of a run taken over.
+    /// Failed attempts before it; unknown for an adopted run.
     attempt: Option<usize>,
 }
 
-/// The pool and what it should hold.
+/// A pool and its expected state.
 pub struct Model {
     pool: Pool,
     now: Millis,
@@ -28,14 +28,14 @@
     waiting: BTreeSet<u64>,
     running: BTreeMap<u64, Run>,
     attempts: BTreeMap<u64, usize>,
-    seen: Vec<u64>,
-    adopted: u64,
-    until: BTreeMap<u64, Millis>,
+    issued: Vec<u64>,
+    last_adopted_permit: u64,
+    loan_ends: BTreeMap<u64, Millis>,
     ended: BTreeMap<u64, Millis>,
 }
 
 impl Model {
-    /// A pool with all its endpoints and a short list.
+    /// Creates a pool with all endpoints and a short waiting list.
     pub fn new() -> Self {
         let limits = Limits {
             waiting_per_slot: 2,
@@ -48,33 +48,33 @@
             waiting: BTreeSet::new(),
             running: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            seen: Vec::new(),
-            adopted: 0,
-            until: BTreeMap::new(),
+            issued: Vec::new(),
+            last_adopted_permit: 0,
+            loan_ends: BTreeMap::new(),
             ended: BTreeMap::new(),
         };
-        model.step(&Step::List((1 << ENDPOINTS) - 1));
+        model.step(&Step::SetEndpoints((1 << ENDPOINTS) - 1));
         model
     }
 
-    /// Does a step and checks all that must hold.
+    /// Applies a step and checks all invariants.
     pub fn step(&mut self, step: &Step) {
         let mut out = Vec::new();
-        let asked = self.act(step, &mut out);
+        let asked = self.apply(step, &mut out);
         for decision in out {
-            self.decided(&decision, asked);
+            self.check_decision(&decision, asked);
         }
-        for permit in &self.seen {
+        for permit in &self.issued {
             if !self.running.contains_key(permit) {
                 self.ended.entry(*permit).or_insert(self.now);
             }
         }
-        self.compare();
+        self.check_stats();
     }
 
-    /// Ends all that runs, until nobody waits.
+    /// Completes all runs until no request waits.
     pub fn drain(&mut self) {
-        self.step(&Step::List((1 << ENDPOINTS) - 1));
+        self.step(&Step::SetEndpoints((1 << ENDPOINTS) - 1));
         for _ in 0..400 {
             while !self.running.is_empty() {
                 self.step(&Step::Done(0, Outcome::Complete));
@@ -90,11 +90,11 @@
 
     fn end_loans(&mut self) {
         while self.running.values().any(|run| run.request.is_none()) {
-            self.step(&Step::Return(0));
+            self.step(&Step::ReturnLoan(0));
         }
     }
 
-    fn act(&mut self, step: &Step, out: &mut Vec<Decision>) -> Option<u64> {
+    fn apply(&mut self, step: &Step, out: &mut Vec<Decision>) -> Option<u64> {
         match *step {
             Step::Ask(number) => return Some(self.ask(number, out)),
             Step::Retry(number) => return self.retry(number, out),
@@ -105,37 +105,37 @@
             }
             Step::Done(n, outcome) => self.done(n, outcome, out),
             Step::DoneAgain(n) => {
-                if let Some(permit) = nth(&self.seen, n)
+                if let Some(permit) = nth(&self.issued, n)
                     && !self.running.contains_key(&permit)
                 {
                     self.pool
                         .done(self.now, &done(0, permit, Outcome::Complete), out);
                 }
             }
-            Step::Forget(holder) => {
+            Step::ForgetHolder(holder) => {
                 self.waiting.retain(|number| holder_of(*number) != holder);
                 self.running.retain(|_, run| run.holder != holder);
                 self.pool.forget_holder(self.now, Incarnation(holder), out);
             }
             Step::Adopt(number, at) => self.adopt(number, at),
             Step::AdoptAgain(n) => self.adopt_again(n),
-            Step::List(bits) => self.list(bits, out),
+            Step::SetEndpoints(bits) => self.set_endpoints(bits, out),
             Step::Tick(ms) => {
                 self.now = self.now + Millis(ms);
                 self.expire();
                 self.pool.tick(self.now, out);
             }
             Step::Lend(holder, want) => self.lend(holder, want),
-            Step::Return(n) => self.give_back(n, out),
+            Step::ReturnLoan(n) => self.return_loan(n, out),
         }
         None
     }
 
     fn ask(&mut self, number: u64, out: &mut Vec<Decision>) -> u64 {
         let attempts = self.attempts.get(&number).copied().unwrap_or(0);
-        let over = |run: &Run| run.attempt.is_some_and(|before| before < attempts);
+        let is_over = |run: &Run| run.attempt.is_some_and(|before| before < attempts);
         self.running
-            .retain(|_, run| run.request != Some(number) || !over(run));
+            .retain(|_, run| run.request != Some(number) || !is_over(run));
         if !self.runs(number) {
             self.waiting.insert(number);
         }
@@ -145,10 +145,11 @@
     }
 
     fn retry(&mut self, number: u64, out: &mut Vec<Decision>) -> Option<u64> {
-        let adopted = |permit: &u64| !self.seen.contains(permit);
+        let is_adopted = |permit: &u64| !self.issued.contains(permit);
         let mut permits = self.running.iter();
-        if permits.any(|(permit, run)| run.request == Some(number) && adopted(permit)) {
-            // How often an adopted one failed is not known: its end comes first.
+        if permits.any(|(permit, run)| run.request == Some(number) && is_adopted(permit)) {
+            // The number of an adopted run's failed attempts is unknown, so it must
+            // end first.
             return None;
         }
         if self.runs(number) {
@@ -176,9 +177,9 @@
     }
 
     fn adopt(&mut self, number: u64, at: usize) {
-        // Permits of an earlier home: none of this one's.
-        self.adopted += 1;
-        let permit = self.adopted;
+        // Permits of an earlier home differ from all of this one's.
+        self.last_adopted_permit += 1;
+        let permit = self.last_adopted_permit;
         self.waiting.remove(&number);
         let run = Run {
             request: Some(number),
@@ -191,12 +192,13 @@
     }
 
     fn adopt_again(&mut self, n: usize) {
-        let Some(permit) = nth(&self.seen, n) else {
+        let Some(permit) = nth(&self.issued, n) else {
             return;
         };
-        // What a loan becomes is told in a table; what ended long ago is forgotten.
+        // The adoption of loans has a test of its own in `pool_cases`. Permits that
+        // ended long ago are forgotten.
         let long_ago = |at: &Millis| self.now - *at >= Millis::from_secs(30);
-        if self.until.contains_key(&permit) || self.ended.get(&permit).is_some_and(long_ago) {
+        if self.loan_ends.contains_key(&permit) || self.ended.get(&permit).is_some_and(long_ago) {
             return;
         }
         let run = self.running.get(&permit);
@@ -205,7 +207,7 @@
         self.pool.adopt(self.now, held(number, permit, at));
     }
 
-    fn list(&mut self, bits: u32, out: &mut Vec<Decision>) {
+    fn set_endpoints(&mut self, bits: u32, out: &mut Vec<Decision>) {
         self.listed = bits;
         let directory = fixture::directory();
         let usable = directory
@@ -216,14 +218,16 @@
     }
 
     fn lend(&mut self, holder: u64, want: u32) {
-        let until = self.now + Millis(2_000);
+        let loan_ends = self.now + Millis(2_000);
         let waits = !self.waiting.is_empty();
-        let loans = self.pool.lend(self.now, Incarnation(holder), want, until);
-        assert!(loans.is_empty() || !waits, "lent while somebody waits");
+        let loans = self
+            .pool
+            .lend(self.now, Incarnation(holder), want, loan_ends);
+        assert!(loans.is_empty() || !waits, "lent while requests wait");
         for loan in loans {
             for permit in loan.permits {
                 let endpoint = index(&loan.endpoint);
-                self.take(
+                self.occupy(
                     permit,
                     Run {
                         request: None,
@@ -232,12 +236,12 @@
                         attempt: None,
                     },
                 );
-                self.until.insert(permit, until);
+                self.loan_ends.insert(permit, loan_ends);
             }
         }
     }
 
-    fn give_back(&mut self, n: usize, out: &mut Vec<Decision>) {
+    fn return_loan(&mut self, n: usize, out: &mut Vec<Decision>) {
         let loans = self.running.iter().filter(|(_, run)| run.request.is_none());
         let loans: Vec<u64> = loans.map(|(permit, _)| *permit).collect();
         if let Some(permit) = nth(&loans, n) {
@@ -247,13 +251,13 @@
     }
 
     fn expire(&mut self) {
-        let over = self.now - Millis(500);
-        let until = &self.until;
+        let cutoff = self.now - Millis(500);
+        let loan_ends = &self.loan_ends;
         self.running
-            .retain(|permit, run| run.request.is_some() || until[permit] >= over);
+            .retain(|permit, run| run.request.is_some() || loan_ends[permit] >= cutoff);
     }
 
-    fn decided(&mut self, decision: &Decision, asked: Option<u64>) {
+    fn check_decision(&mut self, decision: &Decision, asked: Option<u64>) {
         match decision {
             Decision::Grant {
                 request,
@@ -261,25 +265,25 @@
                 endpoint,
                 ..
             } => {
-                self.granted(request.sequence, *permit, index(endpoint), asked);
+                self.check_grant(request.sequence, *permit, index(endpoint), asked);
             }
             Decision::Shed { request, .. } => {
                 let number = request.sequence;
                 assert!(self.waiting.remove(&number), "shed {number} does not wait");
-                self.check_shed(number);
+                self.check_shed_order(number);
             }
             Decision::NoEndpoint { request, .. } => {
-                assert_eq!(self.listed, 0, "refused with endpoints there");
+                assert_eq!(self.listed, 0, "rejected although endpoints are listed");
                 assert!(self.waiting.remove(&request.sequence));
             }
         }
     }
 
-    fn granted(&mut self, number: u64, permit: u64, endpoint: usize, asked: Option<u64>) {
+    fn check_grant(&mut self, number: u64, permit: u64, endpoint: usize, asked: Option<u64>) {
         if let Some(run) = self.running.get(&permit) {
             let known = (run.request, run.endpoint);
-            assert_eq!(known, (Some(number), endpoint), "another grant");
-            assert_eq!(asked, Some(number), "granted again without being asked");
+            assert_eq!(known, (Some(number), endpoint), "repeated grant differs");
+            assert_eq!(asked, Some(number), "grant repeated without an ask");
             return;
         }
         assert!(
@@ -289,7 +293,7 @@
         assert!(!self.runs(number), "a second live grant for {number}");
         assert!(
             self.listed & (1 << endpoint) != 0,
-            "granted where it may not run"
+            "granted at an unlisted endpoint"
         );
         let run = Run {
             request: Some(number),
@@ -297,13 +301,13 @@
             endpoint,
             attempt: Some(self.attempts.get(&number).copied().unwrap_or(0)),
         };
-        self.take(permit, run);
+        self.occupy(permit, run);
     }
 
-    /// Books a place that the pool gave away.
-    fn take(&mut self, permit: u64, run: Run) {
-        assert!(!self.seen.contains(&permit), "permit given twice");
-        self.seen.push(permit);
+    /// Records a slot that the pool allocated.
+    fn occupy(&mut self, permit: u64, run: Run) {
+        assert!(!self.issued.contains(&permit), "permit issued twice");
+        self.issued.push(permit);
         self.running.insert(permit, run);
         let used = self
             .running
@@ -312,8 +316,9 @@
         assert!(used.count() <= SLOTS as usize, "more in flight than slots");
     }
 
-    /// No lower tier waits, but for the one of each class that is next for its share.
-    fn check_shed(&self, number: u64) {
+    /// Checks that no lower tier waits, except for the next request of each
+    /// class.
+    fn check_shed_order(&self, number: u64) {
         let (tier, _) = fixture::class(number);
         let mut below: BTreeMap<_, u32> = BTreeMap::new();
         for other in &self.waiting {
@@ -328,7 +333,7 @@
         );
     }
 
-    fn compare(&self) {
+    fn check_stats(&self) {
         let stats = self.pool.stats();
         let mut waiting = BTreeMap::new();
         for number in &self.waiting {
--- a/crates/core/tests/pool/endless.rs
+++ b/crates/core/tests/pool/saturated.rs
@@ -1,4 +1,5 @@
-//! A pool whose highest tier always has more waiting than there are slots.
+//! A pool whose highest tier always has more waiting requests than there are
+//! slots.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -10,56 +11,56 @@
 
 use super::fixture;
 
-/// Requests of the highest tier that wait at any time.
-const ABOVE: u64 = 20;
+/// Number of waiting requests of the highest tier at any time.
+const HIGHEST_TIER_WAITING: u64 = 20;
 
-pub struct Endless {
+pub struct SaturatedPool {
     pool: Pool,
     now: Millis,
-    /// Lower tiers' requests that were never granted.
+    /// Requests of lower tiers that have not been granted yet.
     pub waiting: BTreeSet<u64>,
     running: VecDeque<(Request, u64)>,
-    next: u64,
+    last_number: u64,
     pub tokens: u64,
-    pub low_tokens: u64,
+    pub lower_tier_tokens: u64,
 }
 
-impl Endless {
-    /// All these wait from the start, but for those of the highest tier.
-    pub fn new(low: &BTreeSet<u64>) -> Self {
-        let mut endless = Self {
+impl SaturatedPool {
+    /// Enqueues the requests of lower tiers among these.
+    pub fn new(lower_tier: &BTreeSet<u64>) -> Self {
+        let mut saturated = Self {
             pool: Pool::new(Limits::default(), 3),
             now: Millis(1_000),
             waiting: BTreeSet::new(),
             running: VecDeque::new(),
-            next: 999,
+            last_number: 999,
             tokens: 0,
-            low_tokens: 0,
+            lower_tier_tokens: 0,
         };
         let directory = fixture::directory();
         let endpoints: Vec<_> = directory.iter().collect();
-        endless
+        saturated
             .pool
-            .set_endpoints(endless.now, &endpoints, &mut Vec::new());
-        for _ in 0..ABOVE {
-            endless.ask_above();
+            .set_endpoints(saturated.now, &endpoints, &mut Vec::new());
+        for _ in 0..HIGHEST_TIER_WAITING {
+            saturated.ask_highest_tier();
         }
-        for number in low {
+        for number in lower_tier {
             if fixture::class(*number).0 != Tier::HIGHEST {
-                endless.waiting.insert(*number);
-                endless.ask(*number);
+                saturated.waiting.insert(*number);
+                saturated.ask(*number);
             }
         }
-        endless
+        saturated
     }
 
-    /// One run ends, and another request of the highest tier comes.
-    pub fn turn(&mut self, round: usize, tokens: u64) {
+    /// Completes a run and adds another request of the highest tier.
+    pub fn complete_one_run(&mut self, round: usize, tokens: u64) {
         self.now = self.now + Millis(20);
-        let (request, permit) = self.running.pop_front().expect("a run");
+        let (request, permit) = self.running.pop_front().expect("an active run");
         self.tokens += tokens;
         if fixture::class(request.sequence).0 != Tier::HIGHEST {
-            self.low_tokens += tokens;
+            self.lower_tier_tokens += tokens;
         }
         let done = Done {
             request,
@@ -74,23 +75,23 @@
         if round.is_multiple_of(50) {
             self.pool.tick(self.now, &mut out);
         }
-        self.note(out);
-        self.ask_above();
+        self.record_grants(out);
+        self.ask_highest_tier();
     }
 
-    fn ask_above(&mut self) {
-        self.next += 3;
-        self.ask(self.next);
+    fn ask_highest_tier(&mut self) {
+        self.last_number += 3;
+        self.ask(self.last_number);
     }
 
     fn ask(&mut self, number: u64) {
         let mut out = Vec::new();
         let waiter = fixture::waiter(self.now, number, 0, 0);
         self.pool.ask(self.now, waiter, &mut out);
-        self.note(out);
+        self.record_grants(out);
     }
 
-    fn note(&mut self, out: Vec<Decision>) {
+    fn record_grants(&mut self, out: Vec<Decision>) {
         for decision in out {
             let Decision::Grant {
                 request, permit, ..
--- a/crates/core/tests/pool/step.rs
+++ b/crates/core/tests/pool/step.rs
@@ -1,4 +1,4 @@
-//! What can happen to a pool, in any order.
+//! Random events for a pool.
 
 use proptest::prelude::*;
 use proptest::strategy::Union;
@@ -6,35 +6,36 @@
 
 use super::fixture::ENDPOINTS;
 
-/// Requests that the steps are about.
+/// Number of requests that the steps use.
 const REQUESTS: u64 = 40;
 pub const HOLDERS: u64 = 3;
 
-/// Something that happens to the pool.
+/// An event.
 #[derive(Clone, Debug)]
 pub enum Step {
     Ask(u64),
-    /// Asks again after a failure: the endpoint is to be avoided.
+    /// Asks again after a failure, with the endpoint to be avoided.
     Retry(u64),
     Withdraw(u64),
     /// Ends the n-th run.
     Done(usize, Outcome),
-    /// Repeats the end of the n-th permit ever seen.
+    /// Repeats the end of the n-th permit issued so far.
     DoneAgain(usize),
-    Forget(u64),
-    /// A run of this request at this endpoint turns up under an old permit.
+    ForgetHolder(u64),
+    /// Reports a run of this request at this endpoint under a permit of an
+    /// earlier home.
     Adopt(u64, usize),
-    /// The n-th permit ever seen is reported as still running.
+    /// Reports the n-th permit issued so far as still active.
     AdoptAgain(usize),
-    /// Which endpoints are usable, as bits.
-    List(u32),
+    /// Sets the usable endpoints, as a bit mask.
+    SetEndpoints(u32),
     Tick(u64),
     Lend(u64, u32),
-    /// Gives the n-th loan back.
-    Return(usize),
+    /// Returns the n-th loan.
+    ReturnLoan(usize),
 }
 
-/// Any steps, asks more often than others.
+/// Generates sequences of steps in which asks are the most frequent.
 pub fn steps() -> impl Strategy<Value = Vec<Step>> {
     let outcome = prop_oneof![
         6 => Just(Outcome::Complete),
@@ -53,7 +54,7 @@
                 .boxed(),
         ),
         (1, (0..99_usize).prop_map(Step::DoneAgain).boxed()),
-        (1, (0..HOLDERS).prop_map(Step::Forget).boxed()),
+        (1, (0..HOLDERS).prop_map(Step::ForgetHolder).boxed()),
         (
             1,
             (0..REQUESTS, 0..ENDPOINTS)
@@ -61,7 +62,10 @@
                 .boxed(),
         ),
         (1, (0..99_usize).prop_map(Step::AdoptAgain).boxed()),
-        (2, (0..1_u32 << ENDPOINTS).prop_map(Step::List).boxed()),
+        (
+            2,
+            (0..1_u32 << ENDPOINTS).prop_map(Step::SetEndpoints).boxed(),
+        ),
         (
             3,
             prop_oneof![5 => 0..300_u64, 1 => 300..90_000_u64]
@@ -74,7 +78,7 @@
                 .prop_map(|(n, want)| Step::Lend(n, want))
                 .boxed(),
         ),
-        (1, (0..9_usize).prop_map(Step::Return).boxed()),
+        (1, (0..9_usize).prop_map(Step::ReturnLoan).boxed()),
     ]);
     prop::collection::vec(step, 1..150)
 }
--- a/crates/core/tests/pool/home.rs
+++ b/crates/core/tests/pool/test_pool.rs
@@ -1,4 +1,4 @@
-//! A pool and its clock, for single decisions.
+//! A pool with a clock, for tests of single decisions.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -13,14 +13,14 @@
 pub const HOLDER: Incarnation = Incarnation(9);
 
 /// A pool of endpoints `e0`, `e1`, … with its clock.
-pub struct Home {
+pub struct TestPool {
     pub pool: Pool,
     pub endpoints: Vec<Endpoint>,
     pub now: Millis,
     pub out: Vec<Decision>,
 }
 
-impl Home {
+impl TestPool {
     pub fn new(endpoints: usize, slots: u32, waiting_per_slot: u32) -> Self {
         let limits = Limits {
             waiting_per_slot,
@@ -29,17 +29,17 @@
         let mut directory = Directory::default();
         let instances: Vec<_> = (0..endpoints).map(|index| instance(index, slots)).collect();
         directory.update(&instances);
-        let mut home = Self {
+        let mut test_pool = Self {
             pool: Pool::new(limits, 1),
             endpoints: directory.iter().cloned().collect(),
             now: Millis(10_000),
             out: Vec::new(),
         };
-        home.list();
-        home
+        test_pool.set_endpoints();
+        test_pool
     }
 
-    pub fn list(&mut self) {
+    pub fn set_endpoints(&mut self) {
         let usable: Vec<_> = self.endpoints.iter().collect();
         self.pool.set_endpoints(self.now, &usable, &mut self.out);
     }
@@ -53,8 +53,8 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Asks and expects to be granted at once.
-    pub fn granted(&mut self, ask: Ask) -> (u64, String) {
+    /// Asks and expects a grant at once.
+    pub fn ask_granted(&mut self, ask: Ask) -> (u64, String) {
         match self.ask(ask).as_slice() {
             [
                 Decision::Grant {
@@ -78,7 +78,7 @@
         std::mem::take(&mut self.out)
     }
 
-    pub fn pass(&mut self, ms: u64) -> Vec<Decision> {
+    pub fn advance(&mut self, ms: u64) -> Vec<Decision> {
         self.now = self.now + Millis(ms);
         self.pool.tick(self.now, &mut self.out);
         std::mem::take(&mut self.out)
@@ -110,7 +110,7 @@
     }
 }
 
-/// Written `number tier workspace/class deadline`.
+/// Parses an ask from `number tier workspace/class deadline`.
 pub fn ask(text: &str) -> Ask {
     let parts: Vec<&str> = text.split(' ').collect();
     let (workspace, class) = parts[2].split_once('/').expect("class");
