--- a/crates/core/src/permit/home/lending.rs
+++ b/crates/core/src/permit/home/lending.rs
@@ -8,7 +8,7 @@
 use crate::permit::transport::{Receipt, Urgency};
 use crate::permit::{Context, NameHash, Transport};
 
-use super::state::{LentSlots, ManagedPool, Phase, Rate};
+use super::state::{LentSlots, Phase, Rate, ManagedPool};
 use super::{Home, request_name};
 
 /// How long the borrower may use a loan. A longer lifetime needs fewer messages,
@@ -194,7 +194,7 @@
         let Some(managed) = self.pools.get_mut(&id) else {
             return;
         };
-        if managed.loans.is_empty() || !managed.pool.waits() {
+        if managed.loans.is_empty() || !managed.pool.has_waiting() {
             return;
         }
         for (borrower, lent) in &mut managed.loans {
@@ -266,7 +266,7 @@
             if let (Some(profile), Some(permit)) = (profile, permit) {
                 let done = record.result.done(request_name(from, 0), *permit);
                 self.pool
-                    .learn(context.now, profile.tier, &profile.class, &done);
+                    .record_loan_run(context.now, profile.tier, &profile.class, &done);
             }
         }
     }
--- a/crates/core/src/permit/home/reconciliation.rs
+++ b/crates/core/src/permit/home/reconciliation.rs
@@ -5,12 +5,12 @@
 
 use crate::clock::Millis;
 use crate::name::Incarnation;
-use crate::permit::message::{Digest, Grant, HeldPermit, Release, Reply, Run, Sync};
+use crate::permit::message::{Digest, Release, Grant, HeldPermit, Reply, Run, Sync};
 use crate::permit::transport::{Receipt, Urgency};
 use crate::permit::{Context, NameHash, Transport};
 use crate::pool;
 
-use super::state::{Holder, PermitRecord, PermitState, Phase};
+use super::state::{PermitRecord, Holder, Phase, PermitState};
 use super::{Home, request_name};
 
 /// How long an entry with state at this home may send no digest before it is
@@ -147,7 +147,7 @@
         }
         let permit = lent_permit.unwrap_or(ADOPTED_BIT | u64::from(number));
         if let Some(endpoint) = context.topology.endpoint(held.endpoint) {
-            let adopted = pool::Held {
+            let adopted = pool::ActiveRun {
                 request,
                 holder: from,
                 permit,
