--- a/crates/core/src/relay/sizing.rs
+++ b/crates/core/src/relay/autoscaling.rs
@@ -5,7 +5,7 @@
 //! that a reserve has to run before they come; and a platform that takes all reclaimable
 //! endpoints of a data centre away at once and has none to give for a while.
 
-pub mod purchase;
+pub mod allocation;
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +13,7 @@
 use crate::name;
 use crate::relay::plan::Scaling;
 
-pub use purchase::purchase;
+pub use allocation::cheapest_allocation;
 
 /// For how long a service is kept able to do what it once had to: bursts come in series.
 const MEMORY: Millis = Millis(30_000);
@@ -46,41 +46,41 @@
 
 /// Endpoints of a service in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct EndpointCount {
     /// Those that stay for as long as they are ordered.
-    pub kept: u32,
+    pub on_demand: u32,
     /// Those that may be taken away.
     pub reclaimable: u32,
 }
 
-impl Count {
+impl EndpointCount {
     /// Both kinds.
     pub fn all(self) -> u32 {
-        self.kept + self.reclaimable
+        self.on_demand + self.reclaimable
     }
 
     fn of(self, is_reclaimable: bool) -> u32 {
         if is_reclaimable {
             self.reclaimable
         } else {
-            self.kept
+            self.on_demand
         }
     }
 }
 
 /// By data centre.
-pub type Counts = BTreeMap<name::DataCentre, Count>;
+pub type EndpointCounts = BTreeMap<name::DataCentre, EndpointCount>;
 
 /// How many are left once the data centre with the most reclaimable endpoints has lost them.
 ///
 /// ```
-/// use woodgap_core::relay::sizing::{Count, Counts, assured};
+/// use woodgap_core::relay::autoscaling::{EndpointCount, EndpointCounts, guaranteed};
 ///
-/// let count = |kept, reclaimable| Count { kept, reclaimable };
-/// let counts = Counts::from([("a".into(), count(5, 10)), ("b".into(), count(0, 4))]);
-/// assert_eq!(assured(&counts), 9);
+/// let count = |on_demand, reclaimable| EndpointCount { on_demand, reclaimable };
+/// let counts = EndpointCounts::from([("a".into(), count(5, 10)), ("b".into(), count(0, 4))]);
+/// assert_eq!(guaranteed(&counts), 9);
 /// ```
-pub fn assured(counts: &Counts) -> u32 {
+pub fn guaranteed(counts: &EndpointCounts) -> u32 {
     let all: u32 = counts.values().map(|it| it.all()).sum();
     let most = counts.values().map(|it| it.reclaimable).max();
     all - most.unwrap_or_default()
@@ -95,7 +95,7 @@
 
 /// The sizing of one service.
 #[derive(Debug, Default)]
-pub struct Sizing {
+pub struct Autoscaler {
     /// What was needed of late, with the moment of each sample.
     samples: VecDeque<(Millis, f64)>,
     /// How many are to be assured, as long as that costs little.
@@ -105,11 +105,11 @@
     /// When a smaller number was ordered last.
     shrunk: Millis,
     /// The cheapest endpoints that assure so many, and for what that was found out.
-    bought: Counts,
+    bought: EndpointCounts,
     bought_for: Option<(u32, Scaling)>,
     made: BTreeMap<(name::DataCentre, bool), Made>,
     /// What was wanted last, and since when.
-    wanted: Counts,
+    wanted: EndpointCounts,
     changed: Millis,
     /// Until when a data centre is taken to have no reclaimable endpoints.
     dry: BTreeMap<name::DataCentre, Millis>,
@@ -117,22 +117,22 @@
 
 /// What is seen of a service.
 #[derive(Clone, Debug)]
-pub struct Sight<'a> {
+pub struct Observation<'a> {
     /// What the operators say.
     pub scaling: &'a Scaling,
     /// Endpoints that are ready.
-    pub running: &'a Counts,
+    pub running: &'a EndpointCounts,
     /// Those of data centres where nothing may be sent, which the scaling does not name.
-    pub idle: &'a Counts,
+    pub idle: &'a EndpointCounts,
     /// How many endpoints its requests need at ease.
     pub demand: f64,
     /// How many times that is to be assured.
     pub headroom: f64,
 }
 
-impl Sizing {
+impl Autoscaler {
     /// Goes on where an entry left off that had so many assured.
-    pub fn from(needed: u32) -> Self {
+    pub fn resume(needed: u32) -> Self {
         Self {
             needed,
             ..Self::default()
@@ -140,7 +140,7 @@
     }
 
     /// The next order, if one is to be made.
-    pub fn next(&mut self, sight: &Sight<'_>, now: Millis) -> Option<Wish> {
+    pub fn next(&mut self, sight: &Observation<'_>, now: Millis) -> Option<ScaleRequest> {
         self.sample(sight, now);
         self.buy(sight.scaling);
         let wanted = self.wanted(sight, now);
@@ -158,36 +158,37 @@
     }
 
     /// Gives up endpoints that get nothing, once enough run elsewhere.
-    fn release(&self, sight: &Sight<'_>, now: Millis) -> Option<Wish> {
-        if assured(sight.running) < self.needed {
+    fn release(&self, sight: &Observation<'_>, now: Millis) -> Option<ScaleRequest> {
+        if guaranteed(sight.running) < self.needed {
             return None;
         }
         let places = sight.idle.keys();
-        let mut none = places.flat_map(|at| wishes(at, Count::default()));
+        let mut none = places.flat_map(|at| wishes(at, EndpointCount::default()));
         none.find(|wish| {
             running(sight.idle, wish) > 0 && self.is_due(sight.scaling, sight.idle, wish, now)
         })
     }
 
     /// Notes that an order was taken.
-    pub fn taken(&mut self, wish: &Wish, now: Millis) {
+    pub fn accepted(&mut self, wish: &ScaleRequest, now: Millis) {
         let made = Made {
             count: wish.count,
             at: now,
         };
         if wish.is_reclaimable {
-            self.dry.remove(&wish.at);
+            self.dry.remove(&wish.data_centre);
         }
         self.made
-            .insert((wish.at.clone(), wish.is_reclaimable), made);
+            .insert((wish.data_centre.clone(), wish.is_reclaimable), made);
     }
 
     /// Notes that there is nothing to be had of this kind.
-    pub fn refused(&mut self, wish: &Wish, now: Millis) {
+    pub fn refused(&mut self, wish: &ScaleRequest, now: Millis) {
         if wish.is_reclaimable {
-            self.dry.insert(wish.at.clone(), now + DRY);
+            self.dry.insert(wish.data_centre.clone(), now + DRY);
         }
-        self.made.remove(&(wish.at.clone(), wish.is_reclaimable));
+        self.made
+            .remove(&(wish.data_centre.clone(), wish.is_reclaimable));
     }
 
     /// Finds out what to buy, where that may have changed.
@@ -196,7 +197,7 @@
         if is_known.is_some_and(|(needed, known)| *needed == self.needed && known == scaling) {
             return;
         }
-        self.bought = purchase(self.needed, scaling);
+        self.bought = cheapest_allocation(self.needed, scaling);
         self.bought_for = Some((self.needed, scaling.clone()));
     }
 
@@ -205,7 +206,7 @@
         self.needed
     }
 
-    fn sample(&mut self, sight: &Sight<'_>, now: Millis) {
+    fn sample(&mut self, sight: &Observation<'_>, now: Millis) {
         self.find(sight, now);
         let last = self.samples.back();
         if last.is_some_and(|(at, _)| now - *at < SAMPLE) {
@@ -221,7 +222,7 @@
         }
         let most = self.samples.iter().map(|(_, demand)| *demand);
         let most = most.fold(0.0, f64::max) * sight.headroom;
-        let most = most.min(f64::from(purchase::attainable(sight.scaling)));
+        let most = most.min(f64::from(allocation::attainable(sight.scaling)));
         let needed = f64::from(self.needed);
         let may_shrink = now - self.shrunk >= SHRINK_PAUSE;
         let is_less = may_shrink && most < needed * (1.0 - STEP);
@@ -234,14 +235,14 @@
     }
 
     /// Counts what operators, or a holder before, began with: they know what they need.
-    fn find(&mut self, sight: &Sight<'_>, now: Millis) {
+    fn find(&mut self, sight: &Observation<'_>, now: Millis) {
         if self.finding_until.is_none() && self.needed == 0 {
-            self.needed = assured(sight.running);
+            self.needed = guaranteed(sight.running);
         }
         let until = *self.finding_until.get_or_insert(now + FINDING);
         if now < until {
-            let kept = sight.running.values().map(|it| it.kept).sum();
-            self.needed = self.needed.max(kept);
+            let on_demand = sight.running.values().map(|it| it.on_demand).sum();
+            self.needed = self.needed.max(on_demand);
             // What was found holds for as long as a demand would.
             self.shrunk = now + MEMORY;
         }
@@ -249,25 +250,25 @@
 
     /// What is to run now, on the way to what is wanted. Of the kept endpoints so many stay as
     /// are needed until reclaimable ones run in their place, and these have the room beside them.
-    fn wanted(&self, sight: &Sight<'_>, now: Millis) -> Counts {
+    fn wanted(&self, sight: &Observation<'_>, now: Millis) -> EndpointCounts {
         let mut wanted = self.bought.clone();
         if self.dry.values().any(|until| now < *until) {
             self.replace(&mut wanted, sight);
         }
         let there = reclaimable(sight.running);
-        let kept: u32 = wanted.values().map(|it| it.kept).sum();
+        let on_demand: u32 = wanted.values().map(|it| it.on_demand).sum();
         let least = self.least(&wanted, sight);
-        let mut staying = least.saturating_sub(assured(&there) + kept);
+        let mut staying = least.saturating_sub(guaranteed(&there) + on_demand);
         for at in by_price(sight.scaling) {
             let running = sight.running.get(at).copied().unwrap_or_default();
             let count = wanted.entry(at.clone()).or_default();
-            let stays = staying.min(running.kept.saturating_sub(count.kept));
+            let stays = staying.min(running.on_demand.saturating_sub(count.on_demand));
             staying -= stays;
-            count.kept += stays;
+            count.on_demand += stays;
             let room = sight
                 .scaling
                 .most
-                .saturating_sub(count.kept.max(running.kept));
+                .saturating_sub(count.on_demand.max(running.on_demand));
             count.reclaimable = count.reclaimable.min(room);
         }
         wanted
@@ -275,10 +276,10 @@
 
     /// How many are there at any time while endpoints of one kind take the place of others: all
     /// that are needed, until reclaimable ones run wherever there is room for them.
-    fn least(&self, wanted: &Counts, sight: &Sight<'_>) -> u32 {
-        let beside = |(at, count): (&name::DataCentre, &Count)| {
+    fn least(&self, wanted: &EndpointCounts, sight: &Observation<'_>) -> u32 {
+        let beside = |(at, count): (&name::DataCentre, &EndpointCount)| {
             let running = sight.running.get(at).copied().unwrap_or_default();
-            let room = sight.scaling.most.saturating_sub(running.kept);
+            let room = sight.scaling.most.saturating_sub(running.on_demand);
             (count.reclaimable.min(room), running.reclaimable)
         };
         let (possible, running) = wanted
@@ -292,11 +293,11 @@
 
     /// Adds kept endpoints in place of reclaimable ones that can't be had, as far as the demand
     /// of this moment asks for them.
-    fn replace(&self, wanted: &mut Counts, sight: &Sight<'_>) {
+    fn replace(&self, wanted: &mut EndpointCounts, sight: &Observation<'_>) {
         let there: u32 = reclaimable(sight.running).values().map(|it| it.all()).sum();
-        let kept: u32 = wanted.values().map(|it| it.kept).sum();
-        let missing = self.of_late().saturating_sub(there + kept);
-        purchase::add_kept(missing, wanted, sight.scaling);
+        let on_demand: u32 = wanted.values().map(|it| it.on_demand).sum();
+        let missing = self.of_late().saturating_sub(there + on_demand);
+        allocation::add_on_demand(missing, wanted, sight.scaling);
     }
 
     /// How many endpoints the requests of this moment need.
@@ -308,13 +309,24 @@
 
     /// Whether an order is to be made: it differs from the last one, or that one had no effect.
     /// Small differences wait until no more come.
-    fn is_due(&self, scaling: &Scaling, counts: &Counts, wish: &Wish, now: Millis) -> bool {
-        let is_dry = self.dry.get(&wish.at).is_some_and(|until| now < *until);
+    fn is_due(
+        &self,
+        scaling: &Scaling,
+        counts: &EndpointCounts,
+        wish: &ScaleRequest,
+        now: Millis,
+    ) -> bool {
+        let is_dry = self
+            .dry
+            .get(&wish.data_centre)
+            .is_some_and(|until| now < *until);
         if wish.is_reclaimable && is_dry {
             return false;
         }
         let running = running(counts, wish);
-        let made = self.made.get(&(wish.at.clone(), wish.is_reclaimable));
+        let made = self
+            .made
+            .get(&(wish.data_centre.clone(), wish.is_reclaimable));
         let last = made.map_or(running, |made| made.count);
         if wish.count != last {
             let difference = f64::from(wish.count.abs_diff(last));
@@ -327,9 +339,12 @@
 }
 
 /// The reclaimable ones among these.
-fn reclaimable(counts: &Counts) -> Counts {
+fn reclaimable(counts: &EndpointCounts) -> EndpointCounts {
     let counts = counts.iter();
-    let without_kept = |count: &Count| Count { kept: 0, ..*count };
+    let without_kept = |count: &EndpointCount| EndpointCount {
+        on_demand: 0,
+        ..*count
+    };
     counts
         .map(|(at, count)| (at.clone(), without_kept(count)))
         .collect()
@@ -344,25 +359,25 @@
 
 /// How many endpoints of one kind are to run in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct ScaleRequest {
     /// Where.
-    pub at: name::DataCentre,
+    pub data_centre: name::DataCentre,
     /// Whether the platform may take them away at short notice.
     pub is_reclaimable: bool,
     /// How many.
     pub count: u32,
 }
 
-fn wishes(at: &name::DataCentre, count: Count) -> [Wish; 2] {
-    [true, false].map(|is_reclaimable| Wish {
-        at: at.clone(),
+fn wishes(at: &name::DataCentre, count: EndpointCount) -> [ScaleRequest; 2] {
+    [true, false].map(|is_reclaimable| ScaleRequest {
+        data_centre: at.clone(),
         is_reclaimable,
         count: count.of(is_reclaimable),
     })
 }
 
-fn running(counts: &Counts, wish: &Wish) -> u32 {
-    let running = counts.get(&wish.at).copied().unwrap_or_default();
+fn running(counts: &EndpointCounts, wish: &ScaleRequest) -> u32 {
+    let running = counts.get(&wish.data_centre).copied().unwrap_or_default();
     running.of(wish.is_reclaimable)
 }
 
--- a/crates/core/src/relay/claim.rs
+++ b/crates/core/src/relay/claim.rs
@@ -10,7 +10,7 @@
 use crate::clock::Millis;
 use crate::name;
 use crate::relay::usage::Window;
-use crate::relay::{prefix, tidings};
+use crate::relay::{load_report, prefix};
 
 /// How much longer than the platform's bound an entry waits before it takes the duties again that
 /// it had: another one may have acted in between.
@@ -72,8 +72,8 @@
 /// An entry's lot for a claim, evenly from 0 to 1: another one for each claim.
 pub fn lot(claim: Option<&Claim>, entry: &name::Entry) -> f64 {
     let number = claim.map_or(0, |claim| claim.number);
-    let drawn = prefix::mix(tidings::hash(entry.as_str()), number);
-    f64::from(tidings::short(drawn)) / f64::from(u32::MAX)
+    let drawn = prefix::mix(load_report::name_hash(entry.as_str()), number);
+    f64::from(load_report::low_32_bits(drawn)) / f64::from(u32::MAX)
 }
 
 /// What an entry knows that may take the duties.
--- a/crates/core/src/relay/division.rs
+++ b/crates/core/src/relay/division.rs
@@ -8,9 +8,9 @@
 use crate::clock::Millis;
 use crate::relay::Ask;
 use crate::relay::Work;
+use crate::relay::load_report::{self, RequiredRate};
 use crate::relay::pace::Pace;
 use crate::relay::roster::Endpoint;
-use crate::relay::tidings::{self, Needed};
 
 /// How many prompt tokens an engine could read in the time that it takes for a token of
 /// a stream at ease, beside some twenty others (50 in a ms, 6 ms): large engines and
@@ -34,7 +34,7 @@
 /// What one entry's requests to a service need, averaged over a while.
 #[derive(Debug, Default)]
 pub struct Demand {
-    needed: Needed,
+    needed: RequiredRate,
     at: Millis,
     steady: usize,
     /// The shortest pause that steady streams may have between two events.
@@ -55,7 +55,7 @@
             self.gap = self.gap.min(ask.gap).or(ask.gap);
         } else {
             let reading = f64::from(unread);
-            self.needed.reading += reading / READING_FILL / SPAN;
+            self.needed.prefill += reading / READING_FILL / SPAN;
         }
     }
 
@@ -74,26 +74,26 @@
     }
 
     /// What this entry's requests ask of engines now.
-    pub fn needed(&self, now: Millis) -> Needed {
+    pub fn needed(&self, now: Millis) -> RequiredRate {
         let age = (now - self.at).0 as f64;
         let left = (-age / SPAN).exp();
         let mut lateness = self.needed.lateness;
         lateness.fade(left);
-        Needed {
+        RequiredRate {
             steady: self.needed.steady * left,
-            reading: self.needed.reading * left,
+            prefill: self.needed.prefill * left,
             lateness,
         }
     }
 
     /// How many of the engines are for steady streams, given what the requests of
     /// other entries need.
-    pub fn settle(&mut self, engines: usize, others: Needed, now: Millis) -> usize {
+    pub fn settle(&mut self, engines: usize, others: RequiredRate, now: Millis) -> usize {
         let own = self.needed(now);
         let mut lateness = own.lateness;
         lateness.add(&others.lateness);
         let steady = (own.steady + others.steady) * lateness.favour_steady();
-        let all = steady + own.reading + others.reading;
+        let all = steady + own.prefill + others.prefill;
         let wanted = if all > 0.0 {
             engines as f64 * steady / all
         } else {
@@ -122,7 +122,7 @@
     /// Puts the engines in order; the first few are for steady streams.
     pub fn new(endpoints: &[&'e Endpoint], steady: usize) -> Self {
         let mut engines = endpoints.to_vec();
-        engines.sort_by_cached_key(|it| (tidings::life_hash(&it.life), it.life.clone()));
+        engines.sort_by_cached_key(|it| (load_report::life_hash(&it.life), it.life.clone()));
         Self { engines, steady }
     }
 
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -23,8 +23,8 @@
 use crate::relay::division::Demand;
 use crate::relay::fading::Fading;
 use crate::relay::health::Sign;
+use crate::relay::load_report::PeerReports;
 use crate::relay::pace::Pace;
-use crate::relay::tidings::Others;
 use load::Load;
 use part::Part;
 
@@ -57,7 +57,7 @@
     paces: HashMap<String, Pace>,
     /// How many engines of each service are in use.
     parts: HashMap<String, Part>,
-    others: Others,
+    others: PeerReports,
     next: u64,
     /// Where the draws of engines begin: entries draw differently.
     seed: u64,
@@ -74,7 +74,7 @@
             demands: HashMap::new(),
             paces: HashMap::new(),
             parts: HashMap::new(),
-            others: Others::default(),
+            others: PeerReports::default(),
             next: 0,
             seed,
             drawn: 0,
@@ -156,7 +156,7 @@
         };
         let token_time = load.beat.judge(window, tokens, now);
         let pace = self.paces.entry(load.service.clone()).or_default();
-        let others = self.others.at(&ticket.endpoint, pace.read_rate(), now);
+        let others = self.others.load_at(&ticket.endpoint, pace.read_rate(), now);
         pace.token(load.running() as f64 + others.running, token_time);
     }
 
@@ -173,8 +173,8 @@
     pub fn engines_needed(&self, service: &str, entries: usize, now: Millis) -> f64 {
         let own = self.demands.get(service);
         let own = own.map(|demand| demand.needed(now)).unwrap_or_default();
-        let others = self.others.needed(service, now);
-        let tokens = own.steady + own.reading + others.steady + others.reading;
+        let others = self.others.required_rate(service, now);
+        let tokens = own.steady + own.prefill + others.steady + others.prefill;
         let heard = self.others.count(now) + 1;
         let part = heard as f64 / entries.max(heard) as f64;
         tokens / part / self.pace(service).read_rate()
--- a/crates/core/src/relay/engine/candidates.rs
+++ b/crates/core/src/relay/engine/candidates.rs
@@ -3,9 +3,9 @@
 use crate::name;
 use crate::relay::Ask;
 use crate::relay::division::Division;
+use crate::relay::load_report;
 use crate::relay::prefix;
 use crate::relay::roster::Endpoint;
-use crate::relay::tidings;
 use crate::relay::work::Work;
 
 /// By how many entries' requests each engine is looked at, at a time: entries hear
@@ -45,7 +45,7 @@
 }
 
 fn keeper<'e>(division: &Division<'e>, is_for_steady: bool, chain: u64) -> Option<&'e name::Life> {
-    let score = |it: &&Endpoint| prefix::mix(chain, tidings::life_hash(&it.life));
+    let score = |it: &&Endpoint| prefix::mix(chain, load_report::life_hash(&it.life));
     let meant = division
         .engines()
         .filter(|(_, is_steady)| *is_steady == is_for_steady);
@@ -77,7 +77,7 @@
     let count = count.max(LEAST_LOOKED_AT);
     if count < engines.len() {
         let score =
-            |(engine, _): &Candidate<'_>| prefix::mix(draw, tidings::life_hash(&engine.life));
+            |(engine, _): &Candidate<'_>| prefix::mix(draw, load_report::life_hash(&engine.life));
         engines.sort_by_cached_key(score);
         engines.truncate(count);
     }
--- a/crates/core/src/relay/engine/choice.rs
+++ b/crates/core/src/relay/engine/choice.rs
@@ -182,7 +182,7 @@
         let Some(first) = endpoints.first() else {
             return Division::new(endpoints, 0);
         };
-        let others = self.others.needed(&first.service, now);
+        let others = self.others.required_rate(&first.service, now);
         let demand = self.demands.get_mut(&first.service);
         let steady = demand.map_or(0, |demand| demand.settle(endpoints.len(), others, now));
         Division::new(endpoints, steady)
@@ -199,7 +199,7 @@
         let load = self.endpoints.get(&endpoint.life);
         let estimate = match (ask.work, ask.engine) {
             (Some(work), Some(engine)) => {
-                let others = self.others.at(&endpoint.life, pace.read_rate(), now);
+                let others = self.others.load_at(&endpoint.life, pace.read_rate(), now);
                 at_engine(load, others, work, engine, is_favourite, pace, now)
             }
             _ => self.at_service(load, endpoint, now),
--- a/crates/core/src/relay/engine/load.rs
+++ b/crates/core/src/relay/engine/load.rs
@@ -8,10 +8,10 @@
 use crate::relay::engine::beat::Beat;
 use crate::relay::fading::Fading;
 use crate::relay::health::{Health, Sign};
+use crate::relay::load_report::PeerLoad;
 use crate::relay::pace::Pace;
 use crate::relay::plan::Engine;
 use crate::relay::prefix::Prefix;
-use crate::relay::tidings::Elsewhere;
 use crate::relay::work::{Part, Work};
 
 /// The price of one running request to one more, in ms: each step of the engine
@@ -239,7 +239,7 @@
 /// What a request would meet at an engine, with what other entries have there.
 pub(super) fn at_engine(
     load: Option<&Load>,
-    others: Elsewhere,
+    others: PeerLoad,
     work: &Work,
     engine: Engine,
     is_favourite: bool,
@@ -249,9 +249,9 @@
     let read_rate = pace.read_rate();
     let kept = kept(load, work, is_favourite);
     let unread = (f64::from(work.prompt_tokens) - kept).max(0.0);
-    let ahead = load.map_or(0.0, |load| f64::from(load.unread())) + others.unread;
+    let ahead = load.map_or(0.0, |load| f64::from(load.unread())) + others.prefill_tokens;
     let running = load.map_or(0.0, |load| load.running() as f64) + others.running;
-    let held = load.map_or(0.0, |load| f64::from(load.held())) + others.held;
+    let held = load.map_or(0.0, |load| f64::from(load.held())) + others.kv_tokens;
     let needed = held + f64::from(work.prompt_tokens + work.output());
     let lacking = (needed - f64::from(engine.memory_tokens)).max(0.0);
     let crowding = (running + 1.0 - EASE * f64::from(engine.slots)).max(0.0);
--- a/crates/core/src/relay/engine/part.rs
+++ b/crates/core/src/relay/engine/part.rs
@@ -10,8 +10,8 @@
 use crate::clock::Millis;
 use crate::relay::Ask;
 use crate::relay::engine::Loads;
+use crate::relay::load_report;
 use crate::relay::roster::Endpoint;
-use crate::relay::tidings;
 
 /// A smaller service uses all its engines: bursts begin before demand is known.
 const LEAST: usize = 256;
@@ -80,7 +80,7 @@
         }
         let placed = endpoints.into_iter();
         let mut placed: Vec<_> = placed
-            .map(|it| (tidings::life_hash(&it.life), it))
+            .map(|it| (load_report::life_hash(&it.life), it))
             .collect();
         placed.select_nth_unstable_by_key(count, |(place, _)| *place);
         placed.truncate(count);
--- a/crates/core/src/relay/engine/telling.rs
+++ b/crates/core/src/relay/engine/telling.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::name;
 use crate::relay::engine::Loads;
-use crate::relay::tidings::{self, Share, Tidings, Work};
+use crate::relay::load_report::{self, EndpointLoad, LoadReport, ServiceLoad};
 
 /// The most services whose work one message tells of: so that it fits into a datagram
 /// beside what is told of endpoints.
@@ -16,55 +16,61 @@
 
 impl Loads {
     /// This entry's load, for the others; of at most so many endpoints.
-    pub fn tidings(&self, most: usize, now: Millis) -> Tidings {
+    pub fn tidings(&self, most: usize, now: Millis) -> LoadReport {
         let all = self.endpoints.iter();
         let busy = all.filter(|(_, load)| load.running() > 0);
-        let shares = busy.map(|(life, load)| Share {
-            endpoint: tidings::life_key(life),
+        let endpoints = busy.map(|(life, load)| EndpointLoad {
+            endpoint: load_report::life_key(life),
             running: u32::try_from(load.running()).unwrap_or(u32::MAX),
-            unread: load.unread(),
-            held: load.held(),
+            prefill_tokens: load.unread(),
+            kv_tokens: load.held(),
             token_time: load.beat.seen(now).map_or(0, tenths),
         });
-        let works = self.works(now);
-        let most = most.saturating_sub(SHARES_FOR_WORK * works.len().saturating_sub(1));
-        let mut shares: Vec<_> = shares.collect();
-        shares.sort_unstable_by_key(|share| Reverse((share.unread, share.running)));
-        shares.truncate(most);
-        Tidings { shares, works }
+        let services = self.works(now);
+        let most = most.saturating_sub(SHARES_FOR_WORK * services.len().saturating_sub(1));
+        let mut endpoints: Vec<_> = endpoints.collect();
+        endpoints.sort_unstable_by_key(|share| Reverse((share.prefill_tokens, share.running)));
+        endpoints.truncate(most);
+        LoadReport {
+            endpoints,
+            services,
+        }
     }
 
     /// The work for each service, the heaviest first.
-    fn works(&self, now: Millis) -> Vec<Work> {
-        let works = self.demands.iter().map(|(service, demand)| Work {
-            service: tidings::key(service),
-            needed: demand.needed(now),
+    fn works(&self, now: Millis) -> Vec<ServiceLoad> {
+        let services = self.demands.iter().map(|(service, demand)| ServiceLoad {
+            service: load_report::name_key(service),
+            required: demand.needed(now),
             pace: self.pace(service).tell(),
         });
-        let mut works: Vec<_> = works.collect();
-        let weight = |work: &Work| work.needed.steady + work.needed.reading;
-        works.sort_by(|left, right| weight(right).total_cmp(&weight(left)));
-        works.truncate(MOST_WORKS);
-        works
+        let mut services: Vec<_> = services.collect();
+        let weight = |work: &ServiceLoad| work.required.steady + work.required.prefill;
+        services.sort_by(|left, right| weight(right).total_cmp(&weight(left)));
+        services.truncate(MOST_WORKS);
+        services
     }
 
     /// Takes what another entry tells of its load.
-    pub fn tell(&mut self, entry: &name::Entry, tidings: &Tidings, now: Millis) {
-        self.others.tell(entry, tidings, now);
+    pub fn tell(&mut self, entry: &name::Entry, tidings: &LoadReport, now: Millis) {
+        self.others.record(entry, tidings, now);
         for (service, pace) in &mut self.paces {
-            let key = tidings::key(service);
-            let mut works = tidings.works.iter();
-            if let Some(work) = works.find(|work| work.service == key) {
+            let key = load_report::name_key(service);
+            let mut services = tidings.services.iter();
+            if let Some(work) = services.find(|work| work.service == key) {
                 pace.told(&work.pace);
             }
         }
-        let seen = tidings.shares.iter().filter(|share| share.token_time > 0);
+        let seen = tidings
+            .endpoints
+            .iter()
+            .filter(|share| share.token_time > 0);
         let times: HashMap<_, _> = seen.map(|it| (it.endpoint, it.token_time)).collect();
         if times.is_empty() {
             return;
         }
         for (life, load) in &mut self.endpoints {
-            if let Some(tenths) = times.get(&tidings::life_key(life)) {
+            if let Some(tenths) = times.get(&load_report::life_key(life)) {
                 load.beat.learn(f64::from(*tenths) / 10.0, now);
             }
         }
--- a/crates/core/src/relay/fleet.rs
+++ b/crates/core/src/relay/fleet.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::relay::tidings;
+use crate::relay::load_report;
 use crate::relay::warming::{self, Sector};
 
 /// How many rounds of messages an entry may miss before it is taken for gone:
@@ -152,7 +152,7 @@
     pub fn new(own: name::Entry, data_centre: name::DataCentre, round: Millis) -> Self {
         // Entries begin their turns at different places: else all would ask the
         // same few at the same moment, and the others at none.
-        let next = usize::try_from(tidings::key(own.as_str())).unwrap_or(0);
+        let next = usize::try_from(load_report::name_key(own.as_str())).unwrap_or(0);
         let next = Split {
             near: next,
             far: next,
--- a/crates/core/src/relay/true_time.rs
+++ b/crates/core/src/relay/median_clock.rs
@@ -13,24 +13,24 @@
 
 /// What the others' clocks read, against the own.
 #[derive(Debug, Default)]
-pub struct Readings {
+pub struct MedianClock {
     /// By how many ms each was ahead, and when that was learnt.
     ahead: HashMap<name::Entry, (i64, Millis)>,
 }
 
-impl Readings {
+impl MedianClock {
     /// Takes in that another entry's clock reads `theirs` while the own reads `own`.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::true_time::Readings;
+    /// use woodgap_core::relay::median_clock::MedianClock;
     ///
-    /// let mut readings = Readings::default();
-    /// readings.told(&"b".into(), Millis(9_000), Millis(5_000), Millis(0));
-    /// readings.told(&"c".into(), Millis(9_010), Millis(5_000), Millis(0));
-    /// assert_eq!(readings.correct(Millis(5_500), Millis(500)), Millis(9_500));
+    /// let mut readings = MedianClock::default();
+    /// readings.record(&"b".into(), Millis(9_000), Millis(5_000), Millis(0));
+    /// readings.record(&"c".into(), Millis(9_010), Millis(5_000), Millis(0));
+    /// assert_eq!(readings.corrected(Millis(5_500), Millis(500)), Millis(9_500));
     /// ```
-    pub fn told(&mut self, entry: &name::Entry, theirs: Millis, own: Millis, now: Millis) {
+    pub fn record(&mut self, entry: &name::Entry, theirs: Millis, own: Millis, now: Millis) {
         let ahead = signed(theirs).saturating_sub(signed(own));
         self.ahead.insert(entry.clone(), (ahead, now));
         // Names of entries that are gone would pile up.
@@ -38,7 +38,7 @@
     }
 
     /// The time of day when the own clock reads `own`.
-    pub fn correct(&self, own: Millis, now: Millis) -> Millis {
+    pub fn corrected(&self, own: Millis, now: Millis) -> Millis {
         let fresh = self.ahead.values();
         let fresh = fresh.filter(|(_, at)| now - *at < READING_LIFE);
         let mut ahead: Vec<i64> = fresh.map(|(ahead, _)| *ahead).collect();
--- a/crates/core/src/relay/plan.rs
+++ b/crates/core/src/relay/plan.rs
@@ -198,19 +198,19 @@
 pub enum Error {
     /// Two routes take the same requests.
     #[error("routes `{0}` and `{1}` have the same host and prefix")]
-    Overlap(String, String),
+    DuplicateRoute(String, String),
     /// A prefix does not begin and end with a slash.
     #[error("route `{0}`: the prefix must begin and end with a slash")]
-    Prefix(String),
+    InvalidPrefix(String),
     /// A route leads nowhere.
     #[error("route `{0}` has no service with a weight above 0")]
-    NoShare(String),
+    NoWeightedService(String),
     /// A route leads to a service that the plan does not have.
     #[error("route `{0}` names the unknown service `{1}`")]
     UnknownService(String, String),
     /// A key stands for two workspaces.
     #[error("workspaces `{0}` and `{1}` have a key in common")]
-    SharedKey(String, String),
+    DuplicateKey(String, String),
 }
 
 impl Plan {
@@ -228,10 +228,10 @@
     fn check_route(&self, route: &Route) -> Result<(), Error> {
         let name = || route.name.clone();
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-            return Err(Error::Prefix(name()));
+            return Err(Error::InvalidPrefix(name()));
         }
         if route.shares.iter().all(|share| share.weight == 0) {
-            return Err(Error::NoShare(name()));
+            return Err(Error::NoWeightedService(name()));
         }
         let known = |share: &&Share| self.services.iter().all(|it| it.name != share.service);
         match route.shares.iter().find(known) {
--- a/crates/core/src/relay/dating.rs
+++ b/crates/core/src/relay/platform_clock.rs
@@ -8,11 +8,11 @@
 
 /// How far the platform's steady clock is behind ours, at least.
 #[derive(Debug, Default)]
-pub struct Dating {
+pub struct PlatformClock {
     behind: Option<i128>,
 }
 
-impl Dating {
+impl PlatformClock {
     /// The latest moment at which an answer is known not to have been made yet:
     /// between the one at which it was asked for and the one at which it came.
     ///
@@ -20,17 +20,17 @@
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::dating::Dating;
+    /// use woodgap_core::relay::platform_clock::PlatformClock;
     ///
-    /// let mut dating = Dating::default();
+    /// let mut dating = PlatformClock::default();
     /// // An answer that came at once shows how the clocks stand.
-    /// assert_eq!(dating.date(Millis(100), Some(Millis(5_000)), Millis(104)), Millis(100));
+    /// assert_eq!(dating.response_time(Millis(100), Some(Millis(5_000)), Millis(104)), Millis(100));
     /// // So one that was held for two seconds is known to be fresh.
-    /// assert_eq!(dating.date(Millis(110), Some(Millis(7_005)), Millis(2_109)), Millis(2_105));
+    /// assert_eq!(dating.response_time(Millis(110), Some(Millis(7_005)), Millis(2_109)), Millis(2_105));
     /// // Nothing is dated later than it came.
-    /// assert_eq!(dating.date(Millis(2_110), Some(Millis(99_000)), Millis(2_114)), Millis(2_114));
+    /// assert_eq!(dating.response_time(Millis(2_110), Some(Millis(99_000)), Millis(2_114)), Millis(2_114));
     /// ```
-    pub fn date(&mut self, asked: Millis, made: Option<Millis>, came: Millis) -> Millis {
+    pub fn response_time(&mut self, asked: Millis, made: Option<Millis>, came: Millis) -> Millis {
         let Some(made) = made else {
             return asked;
         };
--- a/crates/core/src/relay/duty.rs
+++ b/crates/core/src/relay/polling.rs
@@ -33,7 +33,7 @@
 /// knows a part of the fleet only, and would think itself one of the first.
 const SETTLED: Millis = Millis(3_000);
 /// How often an entry looks whether it is its turn.
-pub const LOOK: Millis = Millis(100);
+pub const CHECK_INTERVAL: Millis = Millis(100);
 /// How many entries ask by lot in the time between two looks while nobody's plan is
 /// confirmed: first, while there is time left before keys are distrusted, so many that one
 /// is answered in time though nine of ten are turned away; then so many that the
@@ -49,11 +49,11 @@
 
 /// What an entry is to do about the platform now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum PollDecision {
     /// Ask, and have the question held for so long.
-    Ask(Millis),
+    Poll(Millis),
     /// Learn from the others.
-    Rest,
+    Skip,
 }
 
 /// What is asked about.
@@ -67,16 +67,16 @@
 
 /// What an entry knows of the subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knows {
+pub enum Confirmation {
     /// It has learnt it, and its plan was last confirmed so long ago.
-    Since(Millis),
+    Age(Millis),
     /// It has not learnt it.
-    Nothing,
+    Never,
 }
 
 /// Where an entry stands among the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct EntryStatus {
     /// How many others come before it as readers.
     pub rank: usize,
     /// Whether it is among those that others ask first at their start.
@@ -84,19 +84,19 @@
     /// Whether the whole system starts for the first time, so that nobody waits for it yet.
     pub is_first_start: bool,
     /// Whether it was drawn by lot, was answered, and stands in for the readers.
-    pub is_acting: bool,
+    pub is_substitute: bool,
     /// For how long it has run.
-    pub life: Millis,
+    pub uptime: Millis,
     /// How many other entries it is in touch with, about.
     pub peers: usize,
     /// How long news take to reach all entries.
-    pub spread: Millis,
+    pub propagation_delay: Millis,
 }
 
-impl Standing {
+impl EntryStatus {
     /// Whether the entry has run for long enough to know its rank.
-    pub fn is_settled(&self) -> bool {
-        is_settled(self.life)
+    pub fn has_converged(&self) -> bool {
+        has_converged(self.uptime)
     }
 }
 
@@ -104,13 +104,13 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::duty::is_settled;
+/// use woodgap_core::relay::polling::has_converged;
 ///
-/// assert!(!is_settled(Millis(2_999)));
-/// assert!(is_settled(Millis(3_000)));
+/// assert!(!has_converged(Millis(2_999)));
+/// assert!(has_converged(Millis(3_000)));
 /// ```
-pub fn is_settled(life: Millis) -> bool {
-    life >= SETTLED
+pub fn has_converged(uptime: Millis) -> bool {
+    uptime >= SETTLED
 }
 
 /// The duty of an entry, looked for once in a [`LOOK`]; `lot` is drawn anew for each look,
@@ -121,27 +121,32 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::duty::{Duty, Knows, Standing, Subject, duty};
+/// use woodgap_core::relay::polling::{PollDecision, Confirmation, EntryStatus, Subject, decide};
 ///
-/// let reader = Standing {
+/// let reader = EntryStatus {
 ///     rank: 0,
 ///     is_seed: false,
 ///     is_first_start: false,
-///     is_acting: false,
-///     life: Millis(60_000),
+///     is_substitute: false,
+///     uptime: Millis(60_000),
 ///     peers: 99,
-///     spread: Millis(900),
+///     propagation_delay: Millis(900),
 /// };
-/// let fresh = Knows::Since(Millis(9));
-/// assert_eq!(duty(Subject::Plan, &reader, fresh, 0.0), Duty::Ask(Millis(1_000)));
-/// let other = Standing { rank: 7, ..reader };
-/// assert_eq!(duty(Subject::Plan, &other, fresh, 0.0), Duty::Rest);
+/// let fresh = Confirmation::Age(Millis(9));
+/// assert_eq!(decide(Subject::Plan, &reader, fresh, 0.0), PollDecision::Poll(Millis(1_000)));
+/// let other = EntryStatus { rank: 7, ..reader };
+/// assert_eq!(decide(Subject::Plan, &other, fresh, 0.0), PollDecision::Skip);
 /// // Three in a hundred try in each look while the plan is not confirmed.
-/// let old = Knows::Since(Millis(2_500));
-/// assert_eq!(duty(Subject::Plan, &other, old, 0.029), Duty::Ask(Millis(0)));
-/// assert_eq!(duty(Subject::Plan, &other, old, 0.031), Duty::Rest);
+/// let old = Confirmation::Age(Millis(2_500));
+/// assert_eq!(decide(Subject::Plan, &other, old, 0.029), PollDecision::Poll(Millis(0)));
+/// assert_eq!(decide(Subject::Plan, &other, old, 0.031), PollDecision::Skip);
 /// ```
-pub fn duty(subject: Subject, standing: &Standing, knows: Knows, lot: f64) -> Duty {
+pub fn decide(
+    subject: Subject,
+    standing: &EntryStatus,
+    knows: Confirmation,
+    lot: f64,
+) -> PollDecision {
     let held = match subject {
         Subject::Plan => PLAN_WAIT,
         Subject::Endpoints => ENDPOINTS_WAIT,
@@ -150,47 +155,51 @@
     // Each draws for itself, and all together come to about so many tries.
     let is_drawn = |tries: f64| lot < tries / (standing.peers + 1) as f64;
     match knows {
-        Knows::Nothing if standing.is_seed || is_alone(standing) => Duty::Ask(held),
-        Knows::Nothing if is_without_news(standing) && is_drawn(few) => Duty::Ask(held),
-        Knows::Since(_) if is_reader(standing) => Duty::Ask(held),
+        Confirmation::Never if standing.is_seed || is_alone(standing) => PollDecision::Poll(held),
+        Confirmation::Never if is_without_news(standing) && is_drawn(few) => {
+            PollDecision::Poll(held)
+        }
+        Confirmation::Age(_) if is_reader(standing) => PollDecision::Poll(held),
         // Whoever is answered about the plan asks for the endpoints then.
-        Knows::Since(age) if subject == Subject::Plan && is_stale(age, standing.spread) => {
-            let is_urgent = !is_stale(age, standing.spread + URGENT);
+        Confirmation::Age(age)
+            if subject == Subject::Plan && is_stale(age, standing.propagation_delay) =>
+        {
+            let is_urgent = !is_stale(age, standing.propagation_delay + URGENT);
             let tries = if is_urgent { many } else { few };
             if is_drawn(tries) {
-                Duty::Ask(Millis::ZERO)
+                PollDecision::Poll(Millis::ZERO)
             } else {
-                Duty::Rest
+                PollDecision::Skip
             }
         }
-        Knows::Nothing | Knows::Since(_) => Duty::Rest,
+        Confirmation::Never | Confirmation::Age(_) => PollDecision::Skip,
     }
 }
 
 /// For how long an entry stands in for the readers after it was drawn by lot and answered,
 /// where an entry may be silent for `patience` before the others take it for gone.
-pub fn term(patience: Millis) -> Millis {
+pub fn substitute_term(patience: Millis) -> Millis {
     LEAST_TERM.max(patience)
 }
 
 /// Whether an entry that has just started hears nobody whom it could learn from.
-fn is_alone(standing: &Standing) -> bool {
+fn is_alone(standing: &EntryStatus) -> bool {
     let patience = if standing.is_first_start {
         FIRST_NEWS
     } else {
         FIRST_ANSWERS
     };
-    standing.peers == 0 && standing.life >= patience
+    standing.peers == 0 && standing.uptime >= patience
 }
 
 /// Whether it has waited long enough for what the others learn.
-fn is_without_news(standing: &Standing) -> bool {
-    standing.life >= FIRST_NEWS + standing.spread
+fn is_without_news(standing: &EntryStatus) -> bool {
+    standing.uptime >= FIRST_NEWS + standing.propagation_delay
 }
 
-fn is_reader(standing: &Standing) -> bool {
+fn is_reader(standing: &EntryStatus) -> bool {
     let is_first = standing.rank < READERS;
-    standing.is_acting || (is_first && (standing.is_seed || standing.is_settled()))
+    standing.is_substitute || (is_first && (standing.is_seed || standing.has_converged()))
 }
 
 /// Whether a plan that was confirmed so long ago has not been for longer than the
@@ -204,7 +213,7 @@
 ///
 /// So a confirmation reaches all entries within some round trips once one of them got
 /// it, and not after some rounds.
-pub fn asks_back(own_age: Millis, told_age: Millis, spread: Millis) -> bool {
+pub fn should_query_back(own_age: Millis, told_age: Millis, spread: Millis) -> bool {
     is_stale(own_age, spread) && !is_stale(told_age, spread)
 }
 
@@ -213,19 +222,19 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::duty::pause;
+/// use woodgap_core::relay::polling::backoff;
 ///
-/// assert_eq!(pause(1, 0.0), Millis(150));
-/// assert_eq!(pause(9, 0.0), Millis(500));
-/// assert_eq!(pause(9, 1.0), Millis(1_000));
+/// assert_eq!(backoff(1, 0.0), Millis(150));
+/// assert_eq!(backoff(9, 0.0), Millis(500));
+/// assert_eq!(backoff(9, 1.0), Millis(1_000));
 /// ```
-pub fn pause(failures: u32, lot: f64) -> Millis {
+pub fn backoff(failures: u32, lot: f64) -> Millis {
     let (first, longest) = PAUSES;
     let most = first.0.saturating_mul(1 << failures.min(6));
     let most = most.min(longest.0) as f64;
-    let pause = most / 2.0 * (1.0 + lot.clamp(0.0, 1.0));
+    let backoff = most / 2.0 * (1.0 + lot.clamp(0.0, 1.0));
     // At most the longest pause.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let pause = pause as u64;
-    Millis(pause)
+    let backoff = backoff as u64;
+    Millis(backoff)
 }
--- a/crates/core/src/relay/rest.rs
+++ b/crates/core/src/relay/rest.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
-use crate::relay::tidings;
+use crate::relay::load_report;
 
 /// A connection that ends so soon after something was sent on it had been forgotten:
 /// some round trips within a region. Later, the endpoint had begun to work.
@@ -24,7 +24,7 @@
 /// What one entry has found out and tells the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Which service: the [`tidings::key`] of its name.
+    /// Which service: the [`load_report::name_key`] of its name.
     pub service: u32,
     /// The longest rest.
     pub most: Millis,
@@ -69,13 +69,13 @@
             return;
         }
         let most = Millis(rested.0 / PART);
-        note(&mut self.own, tidings::key(service), most, now);
+        note(&mut self.own, load_report::name_key(service), most, now);
     }
 
     /// The longest time for which connections to a service may rest; none where
     /// nothing speaks against a long one.
     pub fn most(&self, service: &str, now: Millis) -> Option<Millis> {
-        let key = tidings::key(service);
+        let key = load_report::name_key(service);
         let found = [self.own.get(&key), self.told.get(&key)];
         let found = found.into_iter().flatten();
         let fresh = found.filter(|found| found.is_fresh(now));
--- a/crates/core/src/relay/table.rs
+++ b/crates/core/src/relay/table.rs
@@ -151,7 +151,10 @@
         let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
         let before = prefixes.insert(route.prefix.clone(), Arc::new(route.clone()));
         if let Some(before) = before {
-            return Err(Error::Overlap(before.name.clone(), route.name.clone()));
+            return Err(Error::DuplicateRoute(
+                before.name.clone(),
+                route.name.clone(),
+            ));
         }
     }
     Ok(hosts)
@@ -165,7 +168,7 @@
             let before = keys.insert(key.clone(), Arc::clone(&shared));
             if let Some(before) = before.filter(|before| before.name != workspace.name) {
                 let names = (before.name.clone(), workspace.name.clone());
-                return Err(Error::SharedKey(names.0, names.1));
+                return Err(Error::DuplicateKey(names.0, names.1));
             }
         }
     }
--- a/crates/core/src/relay/usage.rs
+++ b/crates/core/src/relay/usage.rs
@@ -18,7 +18,7 @@
 const MOST_WINDOWS: usize = 16;
 /// How long after its end a window is reported: endpoints' answers are under way, and each entry
 /// has told its last counts some times.
-pub const SETTLE_AFTER: Millis = Millis(1_700);
+pub const SETTLE_DELAY: Millis = Millis(1_700);
 /// How far ahead of the own time a window may begin of which another entry tells.
 const MOST_AHEAD: Millis = Millis(10_000);
 
@@ -61,7 +61,7 @@
 
 /// What one entry has counted of a window so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct WindowCounts {
     /// The window.
     pub window: Window,
     /// All requests of the window up to now, for some or all workspaces.
@@ -117,8 +117,8 @@
     }
 
     /// All that was counted of windows that are not settled.
-    pub fn tell(&self) -> impl Iterator<Item = Told> {
-        self.0.windows.iter().map(|(window, counts)| Told {
+    pub fn snapshot(&self) -> impl Iterator<Item = WindowCounts> {
+        self.0.windows.iter().map(|(window, counts)| WindowCounts {
             window: *window,
             counts: counts
                 .iter()
@@ -128,7 +128,7 @@
     }
 
     /// Notes that all windows up to this one are settled.
-    pub fn settled(&mut self, through: Window) {
+    pub fn settle_through(&mut self, through: Window) {
         self.0.settle(through);
     }
 }
@@ -138,12 +138,12 @@
 
 /// What the entries told, of windows that are not settled.
 #[derive(Debug, Default)]
-pub struct Sums(Open<BTreeMap<Teller, Counts>>);
+pub struct UsageTotals(Open<BTreeMap<Teller, Counts>>);
 
-impl Sums {
+impl UsageTotals {
     /// Takes in what a life of an entry told; `unix` is the time of day now, and windows are so
     /// long.
-    pub fn tell(&mut self, from: &Teller, told: Told, unix: Millis, length: Millis) {
+    pub fn record(&mut self, from: &Teller, told: WindowCounts, unix: Millis, length: Millis) {
         if told.window > Window::at(unix + MOST_AHEAD, length) {
             return;
         }
@@ -157,7 +157,7 @@
     }
 
     /// The sum of all entries for a window.
-    pub fn sum(&self, window: Window) -> Counts {
+    pub fn total(&self, window: Window) -> Counts {
         let mut sum = Counts::new();
         let tellers = self.0.windows.get(&window).into_iter().flatten();
         for (workspace, count) in tellers.flat_map(|(_, counts)| counts) {
@@ -167,12 +167,12 @@
     }
 
     /// How many lives of entries have told of a window.
-    pub fn tellers(&self, window: Window) -> usize {
+    pub fn source_count(&self, window: Window) -> usize {
         self.0.windows.get(&window).map_or(0, BTreeMap::len)
     }
 
     /// Notes that all windows up to this one are settled.
-    pub fn settled(&mut self, through: Window) {
+    pub fn settle_through(&mut self, through: Window) {
         self.0.settle(through);
     }
 }
@@ -182,14 +182,19 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::usage::{Window, due};
+/// use woodgap_core::relay::usage::{Window, due_window};
 ///
 /// let length = Millis(5_000);
-/// assert_eq!(due(Some(Window(1)), Window(0), Millis(16_000), length), None);
-/// assert_eq!(due(Some(Window(1)), Window(0), Millis(17_000), length), Some(Window(2)));
-/// assert_eq!(due(None, Window(0), Millis(17_000), length), Some(Window(0)));
+/// assert_eq!(due_window(Some(Window(1)), Window(0), Millis(16_000), length), None);
+/// assert_eq!(due_window(Some(Window(1)), Window(0), Millis(17_000), length), Some(Window(2)));
+/// assert_eq!(due_window(None, Window(0), Millis(17_000), length), Some(Window(0)));
 /// ```
-pub fn due(settled: Option<Window>, first: Window, unix: Millis, length: Millis) -> Option<Window> {
+pub fn due_window(
+    settled: Option<Window>,
+    first: Window,
+    unix: Millis,
+    length: Millis,
+) -> Option<Window> {
     let next = settled.map_or(first, Window::next);
-    (unix >= next.end(length) + SETTLE_AFTER).then_some(next)
+    (unix >= next.end(length) + SETTLE_DELAY).then_some(next)
 }
--- a/crates/core/src/relay/warming.rs
+++ b/crates/core/src/relay/warming.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::relay::tidings;
+use crate::relay::load_report;
 
 /// The span in which requests are counted: a second, and by how much less two may be
 /// apart on arrival than they were on sending.
@@ -58,13 +58,13 @@
 
     /// Whether an endpoint lies in it.
     pub fn holds(&self, endpoint: &name::Life) -> bool {
-        let to_end = self.through.wrapping_sub(tidings::life_hash(endpoint));
+        let to_end = self.through.wrapping_sub(load_report::life_hash(endpoint));
         self.span.is_none_or(|span| to_end < span)
     }
 }
 
 fn point(entry: &name::Entry) -> u64 {
-    tidings::hash(entry.as_str())
+    load_report::name_hash(entry.as_str())
 }
 
 /// By how many entries each cold endpoint is sent to that bears so many requests a second,
--- a/crates/core/tests/relay/sizing.rs
+++ b/crates/core/tests/relay/autoscaling.rs
@@ -6,8 +6,10 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name::DataCentre;
+use woodgap_core::relay::autoscaling::{
+    Autoscaler, EndpointCount, EndpointCounts, Observation, cheapest_allocation, guaranteed,
+};
 use woodgap_core::relay::plan::Scaling;
-use woodgap_core::relay::sizing::{Count, Counts, Sight, Sizing, assured, purchase};
 
 /// The time between two looks.
 const LOOK: Millis = Millis(100);
@@ -48,10 +50,10 @@
 }
 
 impl Platform {
-    fn new(scaling: Scaling, kept: u32) -> Self {
+    fn new(scaling: Scaling, on_demand: u32) -> Self {
         let group = Group {
-            wanted: kept,
-            running: (0..kept).map(|_| Millis::ZERO).collect(),
+            wanted: on_demand,
+            running: (0..on_demand).map(|_| Millis::ZERO).collect(),
         };
         let places = scaling.prices.keys();
         let groups = places.map(|at| ((at.clone(), false), group.clone()));
@@ -68,7 +70,7 @@
         }
     }
 
-    fn running(&self) -> Counts {
+    fn running(&self) -> EndpointCounts {
         let places = self.scaling.prices.keys();
         let up = |at: &DataCentre, is_reclaimable: bool| {
             let group = self.groups.get(&(at.clone(), is_reclaimable));
@@ -77,8 +79,8 @@
             u32::try_from(up).unwrap()
         };
         let counts = places.map(|at| {
-            let count = Count {
-                kept: up(at, false),
+            let count = EndpointCount {
+                on_demand: up(at, false),
                 reclaimable: up(at, true),
             };
             (at.clone(), count)
@@ -99,15 +101,15 @@
     }
 
     /// One look of whoever sizes the service.
-    fn look(&mut self, sizing: &mut Sizing, demand: f64) {
+    fn look(&mut self, sizing: &mut Autoscaler, demand: f64) {
         let mut running = self.running();
         let mut scaling = self.scaling.clone();
-        let mut idle = Counts::new();
+        let mut idle = EndpointCounts::new();
         for at in &self.evacuated {
             scaling.prices.remove(at);
             idle.extend(running.remove_entry(at));
         }
-        let sight = Sight {
+        let sight = Observation {
             scaling: &scaling,
             running: &running,
             idle: &idle,
@@ -121,9 +123,9 @@
                 sizing.refused(&wish, self.now);
                 continue;
             }
-            let group = (wish.at.clone(), wish.is_reclaimable);
+            let group = (wish.data_centre.clone(), wish.is_reclaimable);
             self.groups.entry(group).or_default().wanted = wish.count;
-            sizing.taken(&wish, self.now);
+            sizing.accepted(&wish, self.now);
         }
         self.carry_out();
         self.now = self.now + LOOK;
@@ -145,7 +147,7 @@
         }
     }
 
-    fn run(&mut self, sizing: &mut Sizing, span: Millis, demand: f64) {
+    fn run(&mut self, sizing: &mut Autoscaler, span: Millis, demand: f64) {
         let until = self.now + span;
         while self.now < until {
             self.look(sizing, demand);
@@ -154,7 +156,7 @@
 }
 
 /// The lowest number of endpoints over a span.
-fn lowest(platform: &mut Platform, sizing: &mut Sizing, span: Millis, demand: f64) -> u32 {
+fn lowest(platform: &mut Platform, sizing: &mut Autoscaler, span: Millis, demand: f64) -> u32 {
     let until = platform.now + span;
     let mut lowest = u32::MAX;
     while platform.now < until {
@@ -168,12 +170,12 @@
 #[test]
 fn cheaper_endpoints_take_the_place_of_those_found() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     let lowest = lowest(&mut platform, &mut sizing, Millis(20_000), 10.0);
     assert!(lowest >= 60, "only {lowest} were there");
     let running = platform.running();
-    assert!(running.values().all(|it| it.kept == 0), "{running:?}");
-    assert!(assured(&running) >= 60, "{running:?}");
+    assert!(running.values().all(|it| it.on_demand == 0), "{running:?}");
+    assert!(guaranteed(&running) >= 60, "{running:?}");
     // Three stages at three data centres, two kinds.
     assert!(
         platform.orders.len() <= 18,
@@ -189,9 +191,9 @@
 #[case::reclaimable_ones_cost_nearly_the_same(Some(0.9))]
 fn a_reclaim_leaves_what_was_assured(#[case] price: Option<f64>) {
     let mut platform = Platform::new(scaling(price), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     platform.run(&mut sizing, Millis(25_000), 40.0);
-    let before = assured(&platform.running());
+    let before = guaranteed(&platform.running());
     platform.reclaim("a", Millis(11_000));
     let lowest = lowest(&mut platform, &mut sizing, Millis(11_000), 40.0);
     assert!(lowest >= before.min(60), "{lowest} of {before}");
@@ -199,7 +201,7 @@
     assert!(refused <= 12, "{refused} orders in vain");
     platform.run(&mut sizing, Millis(10_000), 40.0);
     assert!(
-        assured(&platform.running()) >= 52,
+        guaranteed(&platform.running()) >= 52,
         "{:?}",
         platform.running()
     );
@@ -210,7 +212,7 @@
 #[test]
 fn what_stays_takes_the_place_of_what_cannot_be_had() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     platform.run(&mut sizing, Millis(25_000), 50.0);
     platform.reclaim("a", Millis(11_000));
     platform.run(&mut sizing, Millis(2_000), 50.0);
@@ -220,7 +222,7 @@
     assert!(total >= 50, "only {total} run");
     platform.run(&mut sizing, Millis(25_000), 50.0);
     let running = platform.running();
-    assert!(running.values().all(|it| it.kept == 0), "{running:?}");
+    assert!(running.values().all(|it| it.on_demand == 0), "{running:?}");
 }
 
 /// A burst of three times the demand is met by the reserve, or by what starts within the time
@@ -228,7 +230,7 @@
 #[test]
 fn a_burst_brings_as_many_as_there_can_be() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     platform.run(&mut sizing, Millis(25_000), 30.0);
     platform.run(&mut sizing, Millis(6_000), 90.0);
     assert!(platform.total() >= 117, "only {} run", platform.total());
@@ -238,7 +240,7 @@
 #[test]
 fn few_are_kept_for_little_demand() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     platform.run(&mut sizing, Millis(30_000), 60.0);
     let orders = platform.orders.len();
     platform.run(&mut sizing, Millis(60_000), 6.0);
@@ -253,7 +255,7 @@
 #[test]
 fn numbers_do_not_flap() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     platform.run(&mut sizing, Millis(60_000), 40.0);
     let before = platform.orders.len();
     for second in 0..120_u32 {
@@ -268,10 +270,10 @@
 #[test]
 fn the_next_holder_goes_on() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut first = Sizing::default();
+    let mut first = Autoscaler::default();
     platform.run(&mut first, Millis(30_000), 60.0);
     let before = platform.running();
-    let mut next = Sizing::from(first.needed());
+    let mut next = Autoscaler::resume(first.needed());
     let orders = platform.orders.len();
     platform.run(&mut next, Millis(10_000), 60.0);
     assert_eq!(platform.running(), before);
@@ -283,10 +285,10 @@
 #[test]
 fn a_holder_that_knows_nothing_keeps_what_runs() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut first = Sizing::default();
+    let mut first = Autoscaler::default();
     platform.run(&mut first, Millis(20_000), 30.0);
     let before = platform.running();
-    let mut next = Sizing::default();
+    let mut next = Autoscaler::default();
     let lowest = lowest(&mut platform, &mut next, Millis(10_000), 0.0);
     assert_eq!(platform.running(), before);
     assert!(lowest >= 60, "only {lowest} were there");
@@ -311,14 +313,14 @@
             reclaimable_price: price,
             prices: places.map(|(at, price)| (DataCentre::from(format!("dc-{at}")), *price)).collect(),
         };
-        let bought = purchase(needed, &scaling);
+        let bought = cheapest_allocation(needed, &scaling);
         for count in bought.values() {
             prop_assert!((least..=most).contains(&count.all()), "{:?}", bought);
             prop_assert!(price.is_some() || count.reclaimable == 0);
         }
         let places = u32::try_from(prices.len()).unwrap();
         let possible = if price.is_some() && places > 1 { places - 1 } else { places } * most;
-        prop_assert!(assured(&bought) >= needed.min(possible), "{:?}", bought);
+        prop_assert!(guaranteed(&bought) >= needed.min(possible), "{:?}", bought);
     }
 
     /// While endpoints of one kind take the place of others, two thirds of what was needed for as
@@ -337,7 +339,7 @@
     let mut scaling = scaling(Some(0.15));
     scaling.boot = boot;
     let mut platform = Platform::new(scaling, 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     // The time that an endpoint takes to start, and some looks.
     let start = usize::try_from((boot + Millis(2_000)).0 / LOOK.0).unwrap();
     // What was found.
@@ -372,7 +374,7 @@
 #[case::only_kept_ones(None)]
 fn an_evacuated_data_centre_is_replaced_and_then_given_up(#[case] price: Option<f64>) {
     let mut platform = Platform::new(scaling(price), 20);
-    let mut sizing = Sizing::default();
+    let mut sizing = Autoscaler::default();
     platform.run(&mut sizing, Millis(40_000), 40.0);
     let place = DataCentre::from("a");
     let here = |platform: &Platform| platform.running()[&place].all();
@@ -392,5 +394,5 @@
     platform.evacuated.clear();
     platform.run(&mut sizing, Millis(30_000), 40.0);
     assert!(here(&platform) > 0, "it is the cheapest");
-    assert!(assured(&platform.running()) >= 40);
+    assert!(guaranteed(&platform.running()) >= 40);
 }
--- a/crates/core/tests/relay/lives/loads.rs
+++ b/crates/core/tests/relay/lives/loads.rs
@@ -6,8 +6,8 @@
 use woodgap_core::name;
 use woodgap_core::relay::engine::{Choice, Loads, Report, Ticket};
 use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::load_report::{EndpointLoad, life_key};
 use woodgap_core::relay::roster::Endpoint;
-use woodgap_core::relay::tidings::{Share, life_key};
 use woodgap_core::relay::work::{Part, Work};
 
 use crate::engine::{PLAIN, caption};
@@ -72,7 +72,7 @@
     stream: Option<Choice>,
     plain: Option<Choice>,
     is_suspended: bool,
-    told: Option<Share>,
+    told: Option<EndpointLoad>,
 }
 
 /// An entry, the other entries, and the endpoints that they hear of.
@@ -169,7 +169,7 @@
             stream,
             plain,
             is_suspended: self.loads.suspended(&self.later.life),
-            told: tidings.shares.into_iter().find(|it| it.endpoint == key),
+            told: tidings.endpoints.into_iter().find(|it| it.endpoint == key),
         }
     }
 
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -1,9 +1,9 @@
 //! Decisions of the relay, as tables and properties.
 
 mod admission;
+mod autoscaling;
 mod budget;
 mod claim;
-mod duty;
 mod engine;
 mod evacuation;
 mod farewell;
@@ -11,19 +11,19 @@
 mod force;
 mod health;
 mod lives;
+mod median_clock;
 mod outage;
 mod pace;
 mod part;
 mod plan;
+mod platform_clock;
+mod polling;
 mod prefix;
 mod rest;
 mod returning;
 mod roster;
 mod shutdown;
-mod sizing;
 mod source;
 mod table;
-mod time;
-mod true_time;
 mod usage;
 mod warming;
--- a/crates/core/tests/relay/true_time.rs
+++ b/crates/core/tests/relay/median_clock.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use woodgap_core::clock::Millis;
 use woodgap_core::name::Entry;
-use woodgap_core::relay::true_time::Readings;
+use woodgap_core::relay::median_clock::MedianClock;
 
 const TRUE: u64 = 1_700_000_000_000;
 
@@ -15,13 +15,13 @@
         wrong in prop::collection::vec(-100_000..100_000_i64, 0..5),
         own in -100_000..100_000_i64,
     ) {
-        let mut readings = Readings::default();
+        let mut readings = MedianClock::default();
         let at = |off: i64| Millis(TRUE.saturating_add_signed(off));
         for (entry, off) in sound.iter().chain(&wrong).enumerate() {
             let name = Entry::from(format!("dub-a-{entry}"));
-            readings.told(&name, at(*off), at(own), Millis(0));
+            readings.record(&name, at(*off), at(own), Millis(0));
         }
-        let time = readings.correct(at(own), Millis(0));
+        let time = readings.corrected(at(own), Millis(0));
         prop_assert!(time.0.abs_diff(TRUE) <= 50, "{} off", time.0.abs_diff(TRUE));
     }
 }
@@ -29,13 +29,16 @@
 /// An entry that hears nobody goes by its own clock.
 #[test]
 fn an_entry_alone_goes_by_its_own_clock() {
-    let mut readings = Readings::default();
-    assert_eq!(readings.correct(Millis(TRUE), Millis(0)), Millis(TRUE));
-    readings.told(
+    let mut readings = MedianClock::default();
+    assert_eq!(readings.corrected(Millis(TRUE), Millis(0)), Millis(TRUE));
+    readings.record(
         &Entry::from("b"),
         Millis(TRUE + 9_000),
         Millis(TRUE),
         Millis(0),
     );
-    assert_eq!(readings.correct(Millis(TRUE), Millis(60_000)), Millis(TRUE));
+    assert_eq!(
+        readings.corrected(Millis(TRUE), Millis(60_000)),
+        Millis(TRUE)
+    );
 }
--- a/crates/core/tests/relay/outage.rs
+++ b/crates/core/tests/relay/outage.rs
@@ -8,8 +8,10 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::duty::{self, Duty, Knows, LOOK, Standing, Subject};
 use woodgap_core::relay::fleet::{Fleet, Member};
+use woodgap_core::relay::polling::{
+    self, CHECK_INTERVAL, Confirmation, EntryStatus, PollDecision, Subject,
+};
 
 /// The time between two rounds of messages.
 const ROUND: Millis = Millis(300);
@@ -124,7 +126,7 @@
                     self.round(at, now);
                 }
                 self.end_call(at, now);
-                if (now.0 + phase).is_multiple_of(LOOK.0) {
+                if (now.0 + phase).is_multiple_of(CHECK_INTERVAL.0) {
                     self.look(at, now);
                 }
             }
@@ -139,7 +141,7 @@
         if AWAY.contains(&now.0) {
             self.oldest = self.oldest.max(oldest);
         }
-        if duty::is_stale(oldest, self.entries[0].fleet.spread()) {
+        if polling::is_stale(oldest, self.entries[0].fleet.spread()) {
             self.all_fresh_at = now + STEP;
         }
     }
@@ -154,17 +156,17 @@
         if entry.call.is_some() || entry.resumes > now {
             return;
         }
-        let standing = Standing {
+        let standing = EntryStatus {
             rank: entry.fleet.rank(!entry.is_platform_lost, now),
             is_seed: false,
             is_first_start: false,
-            is_acting: now < entry.acts_until,
-            life: Millis(60_000),
+            is_substitute: now < entry.acts_until,
+            uptime: Millis(60_000),
             peers: entry.fleet.peers(now),
-            spread: entry.fleet.spread(),
+            propagation_delay: entry.fleet.spread(),
         };
-        let knows = Knows::Since(now - entry.as_of);
-        let Duty::Ask(held) = duty::duty(Subject::Plan, &standing, knows, lot) else {
+        let knows = Confirmation::Age(now - entry.as_of);
+        let PollDecision::Poll(held) = polling::decide(Subject::Plan, &standing, knows, lot) else {
             return;
         };
         self.calls += 1;
@@ -193,21 +195,21 @@
         if call.is_answered {
             entry.failures = 0;
             if call.is_by_lot {
-                entry.acts_until = now + duty::term(entry.fleet.patience_nearby());
+                entry.acts_until = now + polling::substitute_term(entry.fleet.patience_nearby());
             }
             self.confirm(at, now - STEP, now);
         } else {
             entry.failures += 1;
-            entry.resumes = now + duty::pause(entry.failures, lot);
+            entry.resumes = now + polling::backoff(entry.failures, lot);
         }
     }
 
     fn confirm(&mut self, at: usize, as_of: Millis, now: Millis) {
         let entry = &mut self.entries[at];
         let spread = entry.fleet.spread();
-        let was_stale = duty::is_stale(now - entry.as_of, spread);
+        let was_stale = polling::is_stale(now - entry.as_of, spread);
         entry.as_of = entry.as_of.max(as_of);
-        if was_stale && !duty::is_stale(now - entry.as_of, spread) {
+        if was_stale && !polling::is_stale(now - entry.as_of, spread) {
             self.round(at, now);
         }
     }
@@ -249,7 +251,7 @@
         }
         // The answer's age counts from the moment of the question.
         self.send(message.to, message.from, Some(now - STEP), now);
-        if duty::asks_back(own_age, message.age, spread) {
+        if polling::should_query_back(own_age, message.age, spread) {
             self.send(message.to, message.from, None, now);
         }
     }
--- a/crates/core/tests/relay/pace.rs
+++ b/crates/core/tests/relay/pace.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::relay::division::Demand;
+use woodgap_core::relay::load_report::RequiredRate;
 use woodgap_core::relay::pace::Pace;
-use woodgap_core::relay::tidings::Needed;
 
 use crate::engine::{Entry, ask, caption, narration};
 
@@ -111,5 +111,8 @@
         demand.ended(true, steady_late, Millis(0));
         demand.ended(false, reading_late, Millis(0));
     }
-    assert_eq!(demand.settle(12, Needed::default(), Millis(0)), engines);
+    assert_eq!(
+        demand.settle(12, RequiredRate::default(), Millis(0)),
+        engines
+    );
 }
--- a/crates/core/tests/relay/plan.rs
+++ b/crates/core/tests/relay/plan.rs
@@ -58,15 +58,15 @@
 }
 
 #[rstest]
-#[case::prefix_without_end(vec![route("a", "/a")], Error::Prefix("a".to_owned()))]
-#[case::prefix_without_beginning(vec![route("a", "a/")], Error::Prefix("a".to_owned()))]
+#[case::prefix_without_end(vec![route("a", "/a")], Error::InvalidPrefix("a".to_owned()))]
+#[case::prefix_without_beginning(vec![route("a", "a/")], Error::InvalidPrefix("a".to_owned()))]
 #[case::same_prefix(
     vec![route("a", "/a/"), route("b", "/a/")],
-    Error::Overlap("a".to_owned(), "b".to_owned())
+    Error::DuplicateRoute("a".to_owned(), "b".to_owned())
 )]
 #[case::no_share(
     vec![Route { shares: vec![share("engines", 0)], ..route("a", "/a/") }],
-    Error::NoShare("a".to_owned())
+    Error::NoWeightedService("a".to_owned())
 )]
 #[case::unknown_service(
     vec![Route { shares: vec![share("x", 1)], ..route("a", "/a/") }],
@@ -80,7 +80,7 @@
 fn a_key_stands_for_one_workspace() {
     let mut plan = plan(1, vec![]);
     plan.workspaces = vec![workspace("a", "same", 0), workspace("b", "same", 0)];
-    let error = Error::SharedKey("a".to_owned(), "b".to_owned());
+    let error = Error::DuplicateKey("a".to_owned(), "b".to_owned());
     assert_eq!(Table::new(plan).unwrap_err(), error);
 }
 
--- a/crates/core/tests/relay/returning.rs
+++ b/crates/core/tests/relay/returning.rs
@@ -8,8 +8,10 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::duty::{self, Duty, Knows, LOOK, Standing, Subject};
 use woodgap_core::relay::fleet::{Fleet, Member};
+use woodgap_core::relay::polling::{
+    self, CHECK_INTERVAL, Confirmation, EntryStatus, PollDecision, Subject,
+};
 
 use crate::outage::member;
 
@@ -156,37 +158,37 @@
             self.round(at, now);
         }
         self.work(at, now);
-        if age.0.is_multiple_of(LOOK.0) {
+        if age.0.is_multiple_of(CHECK_INTERVAL.0) {
             self.look(at, now);
         }
     }
 
-    fn standing(&self, at: usize, now: Millis) -> Standing {
+    fn standing(&self, at: usize, now: Millis) -> EntryStatus {
         let entry = &self.entries[at];
-        Standing {
+        EntryStatus {
             rank: entry.fleet.rank(true, now),
             is_seed: at < SEEDS,
             is_first_start: false,
-            is_acting: false,
-            life: now - entry.starts,
+            is_substitute: false,
+            uptime: now - entry.starts,
             peers: entry.fleet.peers(now),
-            spread: entry.fleet.spread(),
+            propagation_delay: entry.fleet.spread(),
         }
     }
 
     fn look(&mut self, at: usize, now: Millis) {
         let standing = self.standing(at, now);
         let knows = if self.entries[at].knows {
-            Knows::Since(Millis::ZERO)
+            Confirmation::Age(Millis::ZERO)
         } else {
-            Knows::Nothing
+            Confirmation::Never
         };
         if self.entries[at].task.is_some() {
             return;
         }
         let lot = self.random.random();
-        let duty = duty::duty(Subject::Endpoints, &standing, knows, lot);
-        if !self.entries[at].knows && matches!(duty, Duty::Ask(_)) {
+        let duty = polling::decide(Subject::Endpoints, &standing, knows, lot);
+        if !self.entries[at].knows && matches!(duty, PollDecision::Poll(_)) {
             self.entries[at].task = Some(Task::Reads {
                 page: 0,
                 ends: now + PAGE,
@@ -211,7 +213,7 @@
         let entry = &mut self.entries[at];
         if !is_served {
             entry.failures += 1;
-            let until = now + duty::pause(entry.failures, lot);
+            let until = now + polling::backoff(entry.failures, lot);
             entry.task = Some(Task::Pauses { until });
             return;
         }
--- a/crates/core/tests/relay/usage.rs
+++ b/crates/core/tests/relay/usage.rs
@@ -5,7 +5,9 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name::{Entry, Incarnation, Workspace};
-use woodgap_core::relay::usage::{Counts, Meter, SETTLE_AFTER, Sums, Told, Window, due};
+use woodgap_core::relay::usage::{
+    Counts, Meter, SETTLE_DELAY, UsageTotals, Window, WindowCounts, due_window,
+};
 
 const LENGTH: Millis = Millis(5_000);
 
@@ -57,9 +59,9 @@
 #[derive(Default)]
 struct World {
     tellers: Vec<Teller>,
-    sums: Sums,
+    sums: UsageTotals,
     truth: Vec<(Window, Workspace)>,
-    late: Vec<(usize, u64, Vec<Told>)>,
+    late: Vec<(usize, u64, Vec<WindowCounts>)>,
 }
 
 impl World {
@@ -76,17 +78,17 @@
         }
     }
 
-    fn arrive(&mut self, entry: usize, life: u64, told: &[Told]) {
+    fn arrive(&mut self, entry: usize, life: u64, told: &[WindowCounts]) {
         let from = (self.tellers[entry].name.clone(), Incarnation(life));
         for told in told {
             let unix = Window(3).end(LENGTH);
-            self.sums.tell(&from, told.clone(), unix, LENGTH);
+            self.sums.record(&from, told.clone(), unix, LENGTH);
         }
     }
 
     fn tell(&mut self, entry: usize, times: usize) {
         let teller = &mut self.tellers[entry];
-        let told: Vec<_> = teller.meter.tell().collect();
+        let told: Vec<_> = teller.meter.snapshot().collect();
         let life = teller.life;
         if times > 0 {
             teller.untold.clear();
@@ -112,7 +114,7 @@
             Event::TellInVain(entry) => self.tell(entry, 0),
             Event::TellLate(entry) => {
                 let teller = &self.tellers[entry];
-                let told = teller.meter.tell().collect();
+                let told = teller.meter.snapshot().collect();
                 self.late.push((entry, teller.life, told));
             }
             Event::Kill(entry) => {
@@ -139,7 +141,7 @@
         (0..ENTRIES).for_each(|entry| world.tell(entry, 1));
         // Whatever is still under way tells less than what came after it, or something that a
         // killed entry had told nobody.
-        let mut rescued = Sums::default();
+        let mut rescued = UsageTotals::default();
         for (entry, life, told) in std::mem::take(&mut world.late) {
             let is_living = world.tellers[entry].life == life;
             if is_living {
@@ -147,7 +149,7 @@
             }
             let from = (world.tellers[entry].name.clone(), Incarnation(life));
             for told in told {
-                rescued.tell(&from, told, Window(3).end(LENGTH), LENGTH);
+                rescued.record(&from, told, Window(3).end(LENGTH), LENGTH);
             }
         }
         for window in (1..4).map(Window) {
@@ -155,7 +157,7 @@
             for (_, workspace) in world.truth.iter().filter(|(at, _)| *at == window) {
                 *truth.entry(workspace.clone()).or_default() += 1;
             }
-            prop_assert_eq!(world.sums.sum(window), truth);
+            prop_assert_eq!(world.sums.total(window), truth);
         }
     }
 
@@ -167,9 +169,9 @@
         let mut settled = None;
         for step in steps {
             unix = unix + Millis(step);
-            while let Some(window) = due(settled, first, unix, LENGTH) {
+            while let Some(window) = due_window(settled, first, unix, LENGTH) {
                 prop_assert_eq!(window, settled.map_or(first, Window::next));
-                prop_assert!(unix >= window.end(LENGTH) + SETTLE_AFTER);
+                prop_assert!(unix >= window.end(LENGTH) + SETTLE_DELAY);
                 settled = Some(window);
             }
         }
@@ -180,18 +182,18 @@
 #[test]
 fn counts_take_bounded_memory() {
     let mut meter = Meter::default();
-    let mut sums = Sums::default();
+    let mut sums = UsageTotals::default();
     let workspace = Workspace::from("w");
     let from = (Entry::from("dub-a-1"), Incarnation(1));
     for window in 0..10_000 {
         meter.count(Window(window), &workspace);
-        for told in meter.tell() {
-            sums.tell(&from, told, Window(window).end(LENGTH), LENGTH);
+        for told in meter.snapshot() {
+            sums.record(&from, told, Window(window).end(LENGTH), LENGTH);
         }
     }
-    assert_eq!(meter.tell().count(), 16);
-    assert_eq!(sums.sum(Window(9_999))[&workspace], 1);
-    assert_eq!(sums.tellers(Window(9_000)), 0);
+    assert_eq!(meter.snapshot().count(), 16);
+    assert_eq!(sums.total(Window(9_999))[&workspace], 1);
+    assert_eq!(sums.source_count(Window(9_000)), 0);
 }
 
 #[rstest]
@@ -199,13 +201,13 @@
 #[case::open(Window(5), 1)]
 #[case::far_ahead(Window(500), 0)]
 fn only_open_windows_are_counted(#[case] window: Window, #[case] tellers: usize) {
-    let mut sums = Sums::default();
-    sums.settled(Window(4));
-    let told = Told {
+    let mut sums = UsageTotals::default();
+    sums.settle_through(Window(4));
+    let told = WindowCounts {
         window,
         counts: vec![("w".into(), 3)],
     };
     let from = (Entry::from("dub-a-1"), Incarnation(1));
-    sums.tell(&from, told, Window(5).end(LENGTH), LENGTH);
-    assert_eq!(sums.tellers(window), tellers);
+    sums.record(&from, told, Window(5).end(LENGTH), LENGTH);
+    assert_eq!(sums.source_count(window), tellers);
 }
--- a/crates/relay/src/duties.rs
+++ b/crates/relay/src/duties.rs
@@ -155,10 +155,10 @@
         let standing = state.standing();
         Candidate {
             rank: standing.rank,
-            is_settled: standing.is_settled(),
+            is_settled: standing.has_converged(),
             is_first: standing.is_first_start && standing.is_seed,
             is_stopping: state.stopping_since().is_some(),
-            life: standing.life,
+            life: standing.uptime,
             had: self
                 .had
                 .filter(|_| self.tenure.is_none())
@@ -290,12 +290,12 @@
             return;
         }
         let settled = tenure.known.register.settled;
-        let due = usage::due(settled, tenure.first, state.unix(), self.settings.window);
+        let due = usage::due_window(settled, tenure.first, state.unix(), self.settings.window);
         let Some(window) = due else {
             return;
         };
-        let counts = state.sums.borrow().sum(window);
-        let tellers = state.sums.borrow().tellers(window);
+        let counts = state.sums.borrow().total(window);
+        let tellers = state.sums.borrow().source_count(window);
         let requests: u64 = counts.values().sum();
         let report = Report { window, counts };
         let next = Register {
--- a/crates/relay/src/duties/outlet.rs
+++ b/crates/relay/src/duties/outlet.rs
@@ -2,7 +2,7 @@
 
 use futures_util::future::LocalBoxFuture;
 use woodgap_core::name;
-use woodgap_core::relay::sizing::Wish;
+use woodgap_core::relay::autoscaling::ScaleRequest;
 use woodgap_core::relay::usage::{Counts, Window};
 use woodgap_platform::Error;
 
@@ -30,7 +30,7 @@
     /// Of which service.
     pub service: String,
     /// Where, of which kind, and how many.
-    pub wish: Wish,
+    pub wish: ScaleRequest,
 }
 
 /// What became of an order.
--- a/crates/relay/src/duties/own.rs
+++ b/crates/relay/src/duties/own.rs
@@ -49,7 +49,7 @@
         async move {
             let size = Size {
                 service: order.service.clone(),
-                data_centre: order.wish.at.clone(),
+                data_centre: order.wish.data_centre.clone(),
                 reclaimable: order.wish.is_reclaimable,
                 count: order.wish.count,
             };
--- a/crates/relay/src/duties/scaling.rs
+++ b/crates/relay/src/duties/scaling.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use woodgap_core::clock::Millis;
+use woodgap_core::relay::autoscaling::{Autoscaler, EndpointCount, EndpointCounts, Observation};
 use woodgap_core::relay::plan::Scaling as Limits;
-use woodgap_core::relay::sizing::{Count, Counts, Sight, Sizing};
 use woodgap_platform::Error;
 
 use crate::duties::outlet::{Order, Ordered};
@@ -18,7 +18,7 @@
 /// The sizing of all services, for as long as this entry has the duties.
 #[derive(Debug, Default)]
 pub struct Scaling {
-    services: BTreeMap<String, Sizing>,
+    services: BTreeMap<String, Autoscaler>,
     retry_at: Millis,
     summarised: Millis,
 }
@@ -27,7 +27,7 @@
     /// Goes on where an entry left off that had so many endpoints of each service assured.
     pub fn from(needed: &BTreeMap<String, u32>) -> Self {
         let services = needed.iter();
-        let services = services.map(|(name, needed)| (name.clone(), Sizing::from(*needed)));
+        let services = services.map(|(name, needed)| (name.clone(), Autoscaler::resume(*needed)));
         Self {
             services: services.collect(),
             ..Self::default()
@@ -42,7 +42,7 @@
             .collect()
     }
 
-    /// The next order to make, if there is one; see [`Sight::headroom`].
+    /// The next order to make, if there is one; see [`Observation::headroom`].
     pub fn next(&mut self, state: &State, headroom: f64) -> Option<Order> {
         let now = state.now();
         if now < self.retry_at {
@@ -57,7 +57,7 @@
             let (running, idle) = running(state, &service, &limits);
             let entries = state.fleet.borrow().size();
             let demand = state.loads.borrow().engines_needed(&service, entries, now);
-            let sight = Sight {
+            let sight = Observation {
                 scaling: &limits,
                 running: &running,
                 idle: &idle,
@@ -67,13 +67,16 @@
             let sizing = self.services.entry(service.clone()).or_default();
             let order = sizing.next(&sight, now);
             if is_summary_due {
-                let all = running.values().fold(Count::default(), |sum, it| Count {
-                    kept: sum.kept + it.kept,
-                    reclaimable: sum.reclaimable + it.reclaimable,
-                });
+                let all =
+                    running
+                        .values()
+                        .fold(EndpointCount::default(), |sum, it| EndpointCount {
+                            on_demand: sum.on_demand + it.on_demand,
+                            reclaimable: sum.reclaimable + it.reclaimable,
+                        });
                 log::info!(
                     service = service.as_str(), demand = (demand * 10.0).round() / 10.0,
-                    assured = sizing.needed(), kept = all.kept, reclaimable = all.reclaimable;
+                    assured = sizing.needed(), kept = all.on_demand, reclaimable = all.reclaimable;
                     "endpoints of a service"
                 );
             }
@@ -96,7 +99,7 @@
         let sizing = self.services.entry(service.clone()).or_default();
         let (label, outcome) = match ordered {
             Ok(Ordered::Taken) => {
-                sizing.taken(wish, now);
+                sizing.accepted(wish, now);
                 ("taken", "taken".to_owned())
             }
             Ok(Ordered::NoneToBeHad) => {
@@ -105,7 +108,7 @@
             }
             // It would be refused again: what others need does not wait for it.
             Err(Error::Rejected(reason)) => {
-                sizing.taken(wish, now);
+                sizing.accepted(wish, now);
                 ("refused", reason)
             }
             Err(error) => {
@@ -115,7 +118,7 @@
         };
         state.metrics.orders.with_label_values(&[label]).inc();
         log::info!(
-            service = service.as_str(), data_centre = wish.at.as_str(),
+            service = service.as_str(), data_centre = wish.data_centre.as_str(),
             is_reclaimable = wish.is_reclaimable, count = wish.count, outcome = outcome;
             "endpoints are ordered"
         );
@@ -146,15 +149,17 @@
 
 /// The endpoints of a service that are ready, also none, by data centre: those that may be sent
 /// to, and those in data centres that are evacuated.
-fn running(state: &State, service: &str, limits: &Limits) -> (Counts, Counts) {
+fn running(state: &State, service: &str, limits: &Limits) -> (EndpointCounts, EndpointCounts) {
     let places = limits.prices.keys();
-    let mut counts: Counts = places.map(|at| (at.clone(), Count::default())).collect();
+    let mut counts: EndpointCounts = places
+        .map(|at| (at.clone(), EndpointCount::default()))
+        .collect();
     let roster = state.roster.borrow();
     let ready = roster
         .listed()
         .filter(|it| it.service == service && !it.leaving);
     let evacuation = state.evacuation.borrow();
-    let mut idle = Counts::new();
+    let mut idle = EndpointCounts::new();
     for endpoint in ready {
         let is_idle = evacuation.covers(&endpoint.data_centre);
         let counts = if is_idle { &mut idle } else { &mut counts };
@@ -162,7 +167,7 @@
         if endpoint.reclaimable {
             count.reclaimable += 1;
         } else {
-            count.kept += 1;
+            count.on_demand += 1;
         }
     }
     (counts, idle)
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -7,9 +7,9 @@
 use rand::Rng;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::dating::Dating;
-use woodgap_core::relay::duty::{self, Duty, LOOK, Subject};
 use woodgap_core::relay::force::Offer;
+use woodgap_core::relay::platform_clock::PlatformClock;
+use woodgap_core::relay::polling::{self, CHECK_INTERVAL, PollDecision, Subject};
 use woodgap_core::relay::roster::{Change, Endpoint};
 use woodgap_core::relay::{Plan, Table};
 
@@ -34,7 +34,7 @@
 pub async fn plan(state: Rc<State>) {
     let mut cursor = None;
     let mut link = Link::new("configuration");
-    let mut dating = Dating::default();
+    let mut dating = PlatformClock::default();
     let mut told = None;
     loop {
         let held = until_due(&state, Subject::Plan).await;
@@ -51,7 +51,7 @@
                     state.ask_endpoints.notify_one();
                 }
                 cursor = Some(news.cursor);
-                let as_of = dating.date(asked, news.made, state.now());
+                let as_of = dating.response_time(asked, news.made, state.now());
                 let Operators { plans, evacuations } = news.content.unwrap_or_default();
                 // First, so that no plan is in force without them.
                 if let Some(evacuations) = evacuations {
@@ -182,10 +182,10 @@
 /// the question is to be held.
 async fn until_due(state: &State, subject: Subject) -> Millis {
     loop {
-        if let Duty::Ask(wait) = state.duty(subject) {
+        if let PollDecision::Poll(wait) = state.duty(subject) {
             return wait;
         }
-        tokio::time::sleep(Duration::from_millis(LOOK.0)).await;
+        tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL.0)).await;
     }
 }
 
@@ -240,7 +240,7 @@
         if self.lost_history && self.failures == 1 {
             return;
         }
-        let pause = duty::pause(self.failures, rand::random());
+        let pause = polling::backoff(self.failures, rand::random());
         tokio::time::sleep(Duration::from_millis(pause.0)).await;
     }
 }
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -10,9 +10,9 @@
 use tokio::net::UdpSocket;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::duty;
 use woodgap_core::relay::fleet::Member;
-use woodgap_core::relay::tidings::Tidings;
+use woodgap_core::relay::load_report::LoadReport;
+use woodgap_core::relay::polling;
 
 use crate::gossip::message::{
     self, Knowledge, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message, USUALLY_TOLD,
@@ -198,7 +198,7 @@
             knows: knowledge(&self.state),
             known: self.state.fleet.borrow().size() - 1,
             told: Vec::new(),
-            tidings: Tidings::default(),
+            tidings: LoadReport::default(),
             rests: Vec::new(),
             suspects: Vec::new(),
             unix: self.state.clock.unix(),
@@ -259,7 +259,7 @@
         let Some(claim) = claim.as_ref() else { return };
         self.counted = now;
         let own = self.state.settings.peer_listen;
-        for told in self.state.meter.borrow().tell() {
+        for told in self.state.meter.borrow().snapshot() {
             let counts = message::Counts {
                 entry: self.state.settings.name.clone(),
                 incarnation: self.state.incarnation(),
@@ -285,7 +285,7 @@
         let from = (counts.entry, counts.incarnation);
         let unix = self.state.unix();
         let mut sums = self.state.sums.borrow_mut();
-        sums.tell(&from, counts.told, unix, duties.window);
+        sums.record(&from, counts.told, unix, duties.window);
     }
 
     fn receive(&mut self, bytes: &[u8], sender: SocketAddr) {
@@ -319,7 +319,7 @@
         if self.state.settings.duties.is_some() {
             let own = self.state.clock.unix();
             let mut readings = self.state.readings.borrow_mut();
-            readings.told(&message.from.name, message.unix, own, now);
+            readings.record(&message.from.name, message.unix, own, now);
         }
         if let Some(claim) = &message.claim {
             self.state.take_claim(claim.clone());
@@ -348,7 +348,8 @@
         let own = knowledge(&self.state);
         let told = message.knows;
         let spread = self.state.fleet.borrow().spread();
-        if told.plan == own.plan && duty::asks_back(own.plan_age, told.plan_age, spread) {
+        if told.plan == own.plan && polling::should_query_back(own.plan_age, told.plan_age, spread)
+        {
             let question = self.message(0, false);
             self.ask(question, message.from.peer);
         }
--- a/crates/relay/src/gossip/message.rs
+++ b/crates/relay/src/gossip/message.rs
@@ -6,9 +6,9 @@
 use woodgap_core::quarantine;
 use woodgap_core::relay::claim::Claim;
 use woodgap_core::relay::fleet::Member;
+use woodgap_core::relay::load_report::LoadReport;
 use woodgap_core::relay::rest;
 use woodgap_core::relay::roster::{Change, Endpoint};
-use woodgap_core::relay::tidings::Tidings;
 use woodgap_core::relay::usage;
 use woodgap_core::relay::{Evacuation, Plan};
 
@@ -46,7 +46,7 @@
     /// Some of these.
     pub told: Vec<Member>,
     /// The sender's load.
-    pub tidings: Tidings,
+    pub tidings: LoadReport,
     /// How long connections to endpoints may rest, as the sender has found out.
     pub rests: Vec<rest::Told>,
     /// Requests that endpoints crashed with.
@@ -65,7 +65,7 @@
     /// Its life.
     pub incarnation: name::Incarnation,
     /// What it has counted.
-    pub told: usage::Told,
+    pub told: usage::WindowCounts,
 }
 
 /// What an entry knows, and how old the confirmation of it is.
@@ -183,7 +183,7 @@
     let half = counts.told.counts.len() / 2;
     let (one, other) = counts.told.counts.split_at(half);
     let part = |part: &[(name::Workspace, u64)]| Counts {
-        told: usage::Told {
+        told: usage::WindowCounts {
             window: counts.told.window,
             counts: part.to_vec(),
         },
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -47,7 +47,7 @@
 /// the first few. All others hear of it.
 fn is_reader(state: &State) -> bool {
     let standing = state.standing();
-    standing.rank < ANNOUNCED && (standing.is_seed || standing.is_settled())
+    standing.rank < ANNOUNCED && (standing.is_seed || standing.has_converged())
 }
 
 /// Takes in what is kept, and drops what is long over. A few entries do so, which tell the others.
--- a/crates/relay/src/request/crash.rs
+++ b/crates/relay/src/request/crash.rs
@@ -16,7 +16,7 @@
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
 use woodgap_core::quarantine::Crash;
-use woodgap_core::relay::tidings;
+use woodgap_core::relay::load_report;
 
 use crate::state::State;
 use crate::upkeep;
@@ -179,7 +179,7 @@
 fn accuse(state: &State, life: &name::Life, suspects: &[Suspect]) {
     for suspect in suspects {
         let crash = Crash {
-            endpoint: tidings::life_key(life),
+            endpoint: load_report::life_key(life),
             sent: suspect.sent,
             at: suspect.cut,
             pieces: suspect.pieces,
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -10,9 +10,9 @@
 use woodgap_core::name;
 use woodgap_core::relay::Ask;
 use woodgap_core::relay::admission::{self, Claim, Verdict as Admission};
-use woodgap_core::relay::duty;
 use woodgap_core::relay::engine::Choice;
 use woodgap_core::relay::plan::Kind;
+use woodgap_core::relay::polling;
 use woodgap_core::relay::roster::Endpoint;
 use woodgap_core::relay::shutdown::End;
 use woodgap_core::verdict::Verdict;
@@ -188,7 +188,7 @@
     };
     let roster = state.roster.borrow();
     let warmed = state.warmed.borrow();
-    let is_settled = duty::is_settled(state.life());
+    let is_settled = polling::has_converged(state.life());
     // Asked for only once there is a cold one.
     let share = LazyCell::new(|| state.fleet.borrow().warming(rate));
     let may_send = |endpoint: &&Endpoint| {
--- a/crates/relay/src/start.rs
+++ b/crates/relay/src/start.rs
@@ -195,7 +195,7 @@
         tokio::time::sleep(Duration::from_millis(ANNOUNCE.0)).await;
         let standing = state.standing();
         // One that stops is the last by its rank.
-        let is_first = standing.is_settled() && standing.rank < ANNOUNCED;
+        let is_first = standing.has_converged() && standing.rank < ANNOUNCED;
         if is_first && state.announcement.get() != Announcement::Taken {
             state.announcement.set(Announcement::Unanswered);
             let announcing = state.source.announce(&settings.name, settings.peer_listen);
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -11,13 +11,13 @@
 use woodgap_core::quarantine::{Change, Crash, Quarantine, Told};
 use woodgap_core::relay::budget::{Bound, Budget};
 use woodgap_core::relay::claim::Claim;
-use woodgap_core::relay::duty::{self, Duty, Knows, Standing, Subject};
 use woodgap_core::relay::engine::Loads;
 use woodgap_core::relay::fleet::{Fleet, Member};
+use woodgap_core::relay::median_clock::MedianClock;
+use woodgap_core::relay::polling::{self, Confirmation, EntryStatus, PollDecision, Subject};
 use woodgap_core::relay::rest::Rests;
 use woodgap_core::relay::shutdown::Shutdown;
-use woodgap_core::relay::true_time::Readings;
-use woodgap_core::relay::usage::{Meter, Sums, Window};
+use woodgap_core::relay::usage::{Meter, UsageTotals, Window};
 use woodgap_core::relay::{Evacuation, Force, Roster, warming};
 use woodgap_platform::clock::Clock;
 use woodgap_settings::relay::Relay as Settings;
@@ -122,11 +122,11 @@
     /// Endpoints that broke off, of which it is being found out whether they have crashed.
     pub checks: RefCell<Checks>,
     /// What the clocks of the other entries read.
-    pub readings: RefCell<Readings>,
+    pub readings: RefCell<MedianClock>,
     /// Requests that endpoints began to run for this entry.
     pub meter: RefCell<Meter>,
     /// The same of all entries, where this one collects them.
-    pub sums: RefCell<Sums>,
+    pub sums: RefCell<UsageTotals>,
     /// Who has the duties, as far as is known.
     pub claim: RefCell<Option<Claim>>,
     /// When it was last heard that the holder goes on.
@@ -212,7 +212,7 @@
     pub fn unix(&self) -> Millis {
         self.readings
             .borrow()
-            .correct(self.clock.unix(), self.now())
+            .corrected(self.clock.unix(), self.now())
     }
 
     /// This life of the entry.
@@ -247,8 +247,8 @@
             return;
         }
         if let Some(through) = claim.settled {
-            self.meter.borrow_mut().settled(through);
-            self.sums.borrow_mut().settled(through);
+            self.meter.borrow_mut().settle_through(through);
+            self.sums.borrow_mut().settle_through(through);
         }
         self.claim_heard.set(self.now());
         let has_news = known.as_ref().is_none_or(|known| claim.has_news(known));
@@ -333,7 +333,7 @@
 
     /// Where this entry stands among the others as a reader of the platform; it is the
     /// last of all while it is stopping.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> EntryStatus {
         let now = self.now();
         let fleet = self.fleet.borrow();
         let is_stopping = self.stopping_since().is_some();
@@ -342,35 +342,35 @@
         } else {
             fleet.rank(!self.is_platform_lost.get(), now)
         };
-        Standing {
+        EntryStatus {
             rank,
             is_seed: self.is_seed(),
             is_first_start: self.settings.first_start,
-            is_acting: !is_stopping && now < self.acts_until.get(),
-            life: self.life(),
+            is_substitute: !is_stopping && now < self.acts_until.get(),
+            uptime: self.life(),
             peers: fleet.peers(now),
-            spread: fleet.spread(),
+            propagation_delay: fleet.spread(),
         }
     }
 
     /// What this entry is to do about the platform.
-    pub fn duty(&self, subject: Subject) -> Duty {
+    pub fn duty(&self, subject: Subject) -> PollDecision {
         let is_known = match subject {
             Subject::Plan => self.force.borrow().table().is_some(),
             Subject::Endpoints => self.roster.borrow().revision() > 0,
         };
         let knows = if is_known {
-            Knows::Since(self.force.borrow().age(self.now()))
+            Confirmation::Age(self.force.borrow().age(self.now()))
         } else {
-            Knows::Nothing
+            Confirmation::Never
         };
-        duty::duty(subject, &self.standing(), knows, rand::random())
+        polling::decide(subject, &self.standing(), knows, rand::random())
     }
 
     /// Stands in for the readers of the platform for a while: this entry was answered
     /// when nobody's plan was confirmed.
     pub fn stand_in(&self) {
-        let term = duty::term(self.fleet.borrow().patience_nearby());
+        let term = polling::substitute_term(self.fleet.borrow().patience_nearby());
         self.acts_until.set(self.now() + term);
         log::info!(for_ms = term.0; "this entry reads the platform for the others");
     }
@@ -387,7 +387,7 @@
 
     fn is_plan_stale(&self) -> bool {
         let age = self.force.borrow().age(self.now());
-        duty::is_stale(age, self.fleet.borrow().spread())
+        polling::is_stale(age, self.fleet.borrow().spread())
     }
 
     /// Whether this entry is among those that others ask first, or knows of no others.
--- a/crates/relay/tests/contract/duties.rs
+++ b/crates/relay/tests/contract/duties.rs
@@ -10,8 +10,8 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::name::{DataCentre, Workspace};
 use woodgap_core::relay::Evacuation;
+use woodgap_core::relay::autoscaling::ScaleRequest;
 use woodgap_core::relay::plan::{Engine, Scaling};
-use woodgap_core::relay::sizing::Wish;
 use woodgap_core::relay::usage::{Counts, Window};
 use woodgap_harness::Stand;
 use woodgap_relay::duties::outlet::{Authority, Order, Ordered, Outlet, Report};
@@ -269,7 +269,7 @@
     let places = || {
         let calls = fleet.platform.calls();
         let orders = calls.into_iter().filter_map(|(_, call)| match call {
-            Call::Order(order) => Some(order.wish.at.to_string()),
+            Call::Order(order) => Some(order.wish.data_centre.to_string()),
             Call::Report(_) => None,
         });
         orders.collect::<Vec<_>>()
@@ -308,8 +308,8 @@
     outlet.report(&by, &report).await.unwrap();
     let order = Order {
         service: "links".to_owned(),
-        wish: Wish {
-            at: "dub-b".into(),
+        wish: ScaleRequest {
+            data_centre: "dub-b".into(),
             is_reclaimable: true,
             count: 2,
         },
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -90,7 +90,7 @@
 #[case::all_models_of_a_large_site(22, 10)]
 fn a_message_fits_into_a_datagram(#[case] services: usize, #[case] engines: usize) {
     let tidings = busy(services, engines).tidings(MOST_SHARES, Millis(18_000));
-    assert!(!tidings.shares.is_empty() && !tidings.works.is_empty());
+    assert!(!tidings.endpoints.is_empty() && !tidings.services.is_empty());
     let message = Message {
         number: u64::MAX,
         is_answer: true,
--- a/crates/relay/tests/contract/peer.rs
+++ b/crates/relay/tests/contract/peer.rs
@@ -5,7 +5,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
 use woodgap_core::relay::fleet::Member;
-use woodgap_core::relay::tidings::Tidings;
+use woodgap_core::relay::load_report::LoadReport;
 use woodgap_relay::gossip::message::{Knowledge, Message};
 
 /// An entry that knows nothing.
@@ -36,7 +36,7 @@
         knows,
         known: 0,
         told: Vec::new(),
-        tidings: Tidings::default(),
+        tidings: LoadReport::default(),
         rests: Vec::new(),
         suspects: Vec::new(),
         unix: Millis(1_600_000_000_000),
