--- a/crates/core/benches/fleet.rs
+++ b/crates/core/benches/fleet.rs
@@ -1,6 +1,6 @@
-//! What the list of endpoints costs an entry: memory, and time for each list and choice.
+//! The cost of the endpoint list for an entry: memory, and the time per list update and choice.
 //!
-//! Each size has a process of its own, since the peak of memory is a process's:
+//! Each size runs in its own process, since peak memory is measured per process:
 //!
 //!     cargo bench -p woodgap-core --bench fleet [-- ENDPOINTS...]
 
@@ -18,16 +18,16 @@
 const SIZES: [usize; 4] = [1_000, 3_000, 10_000, 20_000];
 const DATA_CENTRES: usize = 5;
 const CHOICES: u32 = 50;
-/// How the process that measures is told where the list lies.
-const LIST: &str = "WOODGAP_FLEET_LIST";
+/// The environment variable that passes the path of the list to the measuring process.
+const LIST_ENV: &str = "WOODGAP_FLEET_LIST";
 
 fn main() {
-    if let Some(list) = std::env::var_os(LIST) {
-        return measure(&std::fs::read(list).expect("the list is there"));
+    if let Some(list) = std::env::var_os(LIST_ENV) {
+        return measure(&std::fs::read(list).expect("the list can be read"));
     }
     println!("endpoints  kept KiB  peak KiB  list ms  again ms  choice us");
-    let given = std::env::args().skip(1).filter_map(|it| it.parse().ok());
-    let mut sizes: Vec<usize> = given.collect();
+    let requested = std::env::args().skip(1).filter_map(|it| it.parse().ok());
+    let mut sizes: Vec<usize> = requested.collect();
     if sizes.is_empty() {
         sizes = SIZES.to_vec();
     }
@@ -35,10 +35,10 @@
     let path = std::env::temp_dir().join(format!("woodgap-fleet-{}", std::process::id()));
     for size in sizes {
         let list: Vec<_> = (0..size).map(endpoint).collect();
-        let bytes = postcard::to_stdvec(&list).expect("endpoints can be written");
+        let bytes = postcard::to_stdvec(&list).expect("endpoints can be encoded");
         std::fs::write(&path, bytes).expect("the list is written");
-        let child = Command::new(&program).env(LIST, &path).status();
-        assert!(child.expect("it starts").success());
+        let child = Command::new(&program).env(LIST_ENV, &path).status();
+        assert!(child.expect("the process starts").success());
     }
     std::fs::remove_file(&path).expect("the list is removed");
 }
@@ -59,7 +59,7 @@
     }
 }
 
-/// A figure of this process's memory, in KiB.
+/// A memory value of this process from `/proc/self/status`, in KiB.
 fn memory(name: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with(name));
@@ -67,33 +67,33 @@
     figure.and_then(|it| it.parse().ok()).unwrap_or_default()
 }
 
-fn millis(span: Duration) -> f64 {
-    span.as_secs_f64() * 1_000.0
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1_000.0
 }
 
-fn decoded(bytes: &[u8]) -> Vec<Endpoint> {
-    postcard::from_bytes(bytes).expect("the list is one")
+fn decode(bytes: &[u8]) -> Vec<Endpoint> {
+    postcard::from_bytes(bytes).expect("the list can be decoded")
 }
 
-/// Takes a list as another entry sends it, takes it again, and chooses engines from it.
+/// Applies a list as received from another entry twice, then chooses engines from it.
 fn measure(bytes: &[u8]) {
     let before = (memory("VmRSS"), memory("VmHWM"));
     let mut roster = Roster::new(Millis(1_600));
-    let began = Instant::now();
-    let list = decoded(bytes);
+    let started = Instant::now();
+    let list = decode(bytes);
     let endpoints = list.len();
     roster.replace(list, 1, Millis(0), Millis(0));
-    let first = millis(began.elapsed());
+    let first = millis(started.elapsed());
     let after = (memory("VmRSS"), memory("VmHWM"));
-    let began = Instant::now();
-    roster.replace(decoded(bytes), 2, Millis(0), Millis(0));
-    let again = millis(began.elapsed());
+    let started = Instant::now();
+    roster.replace(decode(bytes), 2, Millis(0), Millis(0));
+    let again = millis(started.elapsed());
     let mut loads = Loads::new(DataCentre::from("centre-0"), 1);
-    let began = Instant::now();
+    let started = Instant::now();
     for at in 0..CHOICES {
         choose(&roster, &mut loads, at);
     }
-    let choice = millis(began.elapsed()) * 1_000.0 / f64::from(CHOICES);
+    let choice = millis(started.elapsed()) * 1_000.0 / f64::from(CHOICES);
     println!(
         "{endpoints:9}  {:8}  {:8}  {first:7.1}  {again:8.1}  {choice:9.0}",
         after.0 - before.0,
@@ -124,7 +124,7 @@
     let usable = roster.usable("language-models", &Evacuation::default(), Millis(5));
     let in_use = loads.in_use(usable, &ask, 1, Millis(5));
     let choice = loads.choose(&in_use, &ask, Millis(5));
-    let choice = choice.expect("one is open");
+    let choice = choice.expect("an endpoint is available");
     let ticket = loads.begin(&choice, &ask, Millis(5));
     loads.end(&ticket, Millis(9));
 }
--- a/crates/core/src/relay/autoscaling.rs
+++ b/crates/core/src/relay/autoscaling.rs
@@ -1,9 +1,10 @@
-//! How many endpoints of a service run, where, and of which kind.
+//! Autoscaling: how many endpoints of each kind a service runs in each data centre.
 //!
-//! Apart from placing: what is needed comes in as a number of endpoints at ease, and wanted
-//! numbers go out. The load patterns: bursts that are over before a new endpoint has started, so
-//! that a reserve has to run before they come; and a platform that takes all reclaimable
-//! endpoints of a data centre away at once and has none to give for a while.
+//! Independent of request placement: the input is the demand, as the number of endpoints needed at
+//! normal utilisation, and the output is the desired endpoint counts. Two load patterns shape the
+//! design: bursts that end before a new endpoint has booted, so spare capacity must already be
+//! running; and a platform that reclaims all reclaimable endpoints of a data centre at once and
+//! can't replace them for a while.
 
 pub mod allocation;
 
@@ -15,51 +16,52 @@
 
 pub use allocation::cheapest_allocation;
 
-/// For how long a service is kept able to do what it once had to: bursts come in series.
-const MEMORY: Millis = Millis(30_000);
-/// How often the demand is looked at.
-const SAMPLE: Millis = Millis(500);
-/// Another number is ordered only if it differs by this part at least.
-const STEP: f64 = 0.15;
-/// The time between two orders of smaller numbers, at least: endpoints that leave forget what
-/// they keep, and their streams have to end.
-const SHRINK_PAUSE: Millis = Millis(8_000);
-/// For how long the endpoints that are found at first are counted: they list themselves one by
-/// one.
-const FINDING: Millis = Millis(5_000);
-/// After a refusal, how long a data centre is taken to have no reclaimable endpoints.
-const DRY: Millis = Millis(3_000);
-/// The part of what is needed that is there at any time while endpoints of one kind take the place
-/// of others.
-const LEAST_PART: f64 = 2.0 / 3.0;
-/// The part of the endpoints that are ordered which shows that the platform has started them: some
-/// may fail at any time.
-const NEARLY_ALL: f64 = 0.9;
-/// How many samples tell the demand of this moment.
-const RECENT: usize = 4;
-/// How long beyond its start an endpoint may take to be listed.
-const LISTING: Millis = Millis(2_000);
-/// A difference to the last order that is more than this part of it is ordered at once, a smaller
-/// one after it has stayed the same for a while.
-const LARGE: f64 = 0.5;
-const SETTLED: Millis = Millis(700);
-
-/// Endpoints of a service in one data centre.
+/// How long a demand peak determines the required capacity: bursts come in series.
+const DEMAND_WINDOW: Millis = Millis(30_000);
+/// How often the demand is sampled.
+const SAMPLE_INTERVAL: Millis = Millis(500);
+/// The smallest relative change of the demand peak that changes the required capacity.
+const MIN_CHANGE: f64 = 0.15;
+/// The minimum time between two scale-downs: a leaving endpoint loses its cache and must finish
+/// its streams.
+const SCALE_DOWN_COOLDOWN: Millis = Millis(8_000);
+/// How long after the autoscaler starts the running endpoints raise the required capacity: they
+/// are listed one by one.
+const DISCOVERY_PERIOD: Millis = Millis(5_000);
+/// How long after a refusal a data centre is assumed to have no reclaimable endpoints available.
+const REFUSAL_BACKOFF: Millis = Millis(3_000);
+/// The share of the required capacity that stays available while endpoints of one kind replace
+/// those of the other.
+const MIN_AVAILABLE_SHARE: f64 = 2.0 / 3.0;
+/// The share of the ordered endpoints that must run before the platform counts as having started
+/// them: some may fail at any time.
+const STARTED_SHARE: f64 = 0.9;
+/// The number of samples that determine the current demand.
+const RECENT_SAMPLES: usize = 4;
+/// How long after booting an endpoint may take to be listed.
+const LISTING_DELAY: Millis = Millis(2_000);
+/// A change by more than this share of the last order is ordered at once; a smaller one once the
+/// desired counts have been stable for [`STABLE_PERIOD`].
+const LARGE_CHANGE: f64 = 0.5;
+/// How long the desired counts must be stable before a small change is ordered.
+const STABLE_PERIOD: Millis = Millis(700);
+
+/// The number of endpoints of a service in one data centre, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCount {
-    /// Those that stay for as long as they are ordered.
+    /// Endpoints that the platform never reclaims.
     pub on_demand: u32,
-    /// Those that may be taken away.
+    /// Endpoints that the platform may reclaim at short notice.
     pub reclaimable: u32,
 }
 
 impl EndpointCount {
-    /// Both kinds.
-    pub fn all(self) -> u32 {
+    /// The endpoints of both kinds.
+    pub fn total(self) -> u32 {
         self.on_demand + self.reclaimable
     }
 
-    fn of(self, is_reclaimable: bool) -> u32 {
+    fn by_kind(self, is_reclaimable: bool) -> u32 {
         if is_reclaimable {
             self.reclaimable
         } else {
@@ -68,10 +70,11 @@
     }
 }
 
-/// By data centre.
+/// Endpoint counts by data centre.
 pub type EndpointCounts = BTreeMap<name::DataCentre, EndpointCount>;
 
-/// How many are left once the data centre with the most reclaimable endpoints has lost them.
+/// The capacity that survives any single reclaim: how many endpoints remain after the data centre
+/// with the most reclaimable ones has lost them all.
 ///
 /// ```
 /// use woodgap_core::relay::autoscaling::{EndpointCount, EndpointCounts, guaranteed};
@@ -81,57 +84,57 @@
 /// assert_eq!(guaranteed(&counts), 9);
 /// ```
 pub fn guaranteed(counts: &EndpointCounts) -> u32 {
-    let all: u32 = counts.values().map(|it| it.all()).sum();
-    let most = counts.values().map(|it| it.reclaimable).max();
-    all - most.unwrap_or_default()
+    let all: u32 = counts.values().map(|it| it.total()).sum();
+    let largest = counts.values().map(|it| it.reclaimable).max();
+    all - largest.unwrap_or_default()
 }
 
-/// An order that was made.
+/// The last order that the platform accepted for a data centre and kind.
 #[derive(Clone, Copy, Debug)]
-struct Made {
+struct PlacedOrder {
     count: u32,
     at: Millis,
 }
 
-/// The sizing of one service.
+/// The autoscaler of one service.
 #[derive(Debug, Default)]
 pub struct Autoscaler {
-    /// What was needed of late, with the moment of each sample.
+    /// Recent demand samples, each with its time.
     samples: VecDeque<(Millis, f64)>,
-    /// How many are to be assured, as long as that costs little.
+    /// The required capacity: how many endpoints must survive a reclaim, see [`guaranteed`].
     needed: u32,
-    /// Until when the endpoints that operators began with are counted.
-    finding_until: Option<Millis>,
-    /// When a smaller number was ordered last.
-    shrunk: Millis,
-    /// The cheapest endpoints that assure so many, and for what that was found out.
-    bought: EndpointCounts,
-    bought_for: Option<(u32, Scaling)>,
-    made: BTreeMap<(name::DataCentre, bool), Made>,
-    /// What was wanted last, and since when.
-    wanted: EndpointCounts,
-    changed: Millis,
-    /// Until when a data centre is taken to have no reclaimable endpoints.
-    dry: BTreeMap<name::DataCentre, Millis>,
+    /// The end of the period in which running endpoints raise `needed`.
+    discovery_until: Option<Millis>,
+    /// The time of the last scale-down; in the future until a discovered capacity may be reduced.
+    scaled_down_at: Millis,
+    /// The cheapest allocation that guarantees `needed`, and the inputs it was computed from.
+    allocation: EndpointCounts,
+    allocated_for: Option<(u32, Scaling)>,
+    orders: BTreeMap<(name::DataCentre, bool), PlacedOrder>,
+    /// The desired counts, and since when they have been unchanged.
+    desired: EndpointCounts,
+    desired_since: Millis,
+    /// Until when each data centre is assumed to have no reclaimable endpoints available.
+    unavailable_until: BTreeMap<name::DataCentre, Millis>,
 }
 
-/// What is seen of a service.
+/// The observed state of a service.
 #[derive(Clone, Debug)]
 pub struct Observation<'a> {
-    /// What the operators say.
+    /// The scaling limits and prices that operators configured.
     pub scaling: &'a Scaling,
-    /// Endpoints that are ready.
+    /// Ready endpoints.
     pub running: &'a EndpointCounts,
-    /// Those of data centres where nothing may be sent, which the scaling does not name.
+    /// Ready endpoints in evacuated data centres, which `scaling` does not list.
     pub idle: &'a EndpointCounts,
-    /// How many endpoints its requests need at ease.
+    /// How many endpoints the current requests need at normal utilisation.
     pub demand: f64,
-    /// How many times that is to be assured.
+    /// The factor by which the required capacity exceeds the demand.
     pub headroom: f64,
 }
 
 impl Autoscaler {
-    /// Goes on where an entry left off that had so many assured.
+    /// Resumes from the required capacity of the previous holder.
     pub fn resume(needed: u32) -> Self {
         Self {
             needed,
@@ -139,251 +142,264 @@
         }
     }
 
-    /// The next order, if one is to be made.
-    pub fn next(&mut self, sight: &Observation<'_>, now: Millis) -> Option<ScaleRequest> {
-        self.sample(sight, now);
-        self.buy(sight.scaling);
-        let wanted = self.wanted(sight, now);
-        if self.wanted != wanted {
-            self.wanted.clone_from(&wanted);
-            self.changed = now;
+    /// Returns the next order, if one is due.
+    pub fn next(&mut self, observation: &Observation<'_>, now: Millis) -> Option<ScaleRequest> {
+        self.sample(observation, now);
+        self.update_allocation(observation.scaling);
+        let desired = self.desired(observation, now);
+        if self.desired != desired {
+            self.desired.clone_from(&desired);
+            self.desired_since = now;
         }
-        let all = wanted
+        let all = desired
             .into_iter()
-            .flat_map(|(at, count)| wishes(&at, count));
-        let due = all.filter(|wish| self.is_due(sight.scaling, sight.running, wish, now));
-        // What is added first, so that nothing is missing while what is too much leaves.
-        let next = due.min_by_key(|wish| wish.count < running(sight.running, wish));
-        next.or_else(|| self.release(sight, now))
+            .flat_map(|(at, count)| requests_for(&at, count));
+        let due = all
+            .filter(|request| self.is_due(observation.scaling, observation.running, request, now));
+        // Scale-ups come first, so that capacity never drops below the desired one.
+        let next = due.min_by_key(|request| request.count < running(observation.running, request));
+        next.or_else(|| self.release(observation, now))
     }
 
-    /// Gives up endpoints that get nothing, once enough run elsewhere.
-    fn release(&self, sight: &Observation<'_>, now: Millis) -> Option<ScaleRequest> {
-        if guaranteed(sight.running) < self.needed {
+    /// Releases endpoints in evacuated data centres once the others provide the required capacity.
+    fn release(&self, observation: &Observation<'_>, now: Millis) -> Option<ScaleRequest> {
+        if guaranteed(observation.running) < self.needed {
             return None;
         }
-        let places = sight.idle.keys();
-        let mut none = places.flat_map(|at| wishes(at, EndpointCount::default()));
-        none.find(|wish| {
-            running(sight.idle, wish) > 0 && self.is_due(sight.scaling, sight.idle, wish, now)
+        let data_centres = observation.idle.keys();
+        let mut none = data_centres.flat_map(|at| requests_for(at, EndpointCount::default()));
+        none.find(|request| {
+            running(observation.idle, request) > 0
+                && self.is_due(observation.scaling, observation.idle, request, now)
         })
     }
 
-    /// Notes that an order was taken.
-    pub fn accepted(&mut self, wish: &ScaleRequest, now: Millis) {
-        let made = Made {
-            count: wish.count,
+    /// Records that the platform accepted an order.
+    pub fn accepted(&mut self, request: &ScaleRequest, now: Millis) {
+        let order = PlacedOrder {
+            count: request.count,
             at: now,
         };
-        if wish.is_reclaimable {
-            self.dry.remove(&wish.data_centre);
+        if request.is_reclaimable {
+            self.unavailable_until.remove(&request.data_centre);
         }
-        self.made
-            .insert((wish.data_centre.clone(), wish.is_reclaimable), made);
+        self.orders
+            .insert((request.data_centre.clone(), request.is_reclaimable), order);
     }
 
-    /// Notes that there is nothing to be had of this kind.
-    pub fn refused(&mut self, wish: &ScaleRequest, now: Millis) {
-        if wish.is_reclaimable {
-            self.dry.insert(wish.data_centre.clone(), now + DRY);
+    /// Records that the platform has no endpoints of this kind available.
+    pub fn refused(&mut self, request: &ScaleRequest, now: Millis) {
+        if request.is_reclaimable {
+            self.unavailable_until
+                .insert(request.data_centre.clone(), now + REFUSAL_BACKOFF);
         }
-        self.made
-            .remove(&(wish.data_centre.clone(), wish.is_reclaimable));
+        self.orders
+            .remove(&(request.data_centre.clone(), request.is_reclaimable));
     }
 
-    /// Finds out what to buy, where that may have changed.
-    fn buy(&mut self, scaling: &Scaling) {
-        let is_known = self.bought_for.as_ref();
-        if is_known.is_some_and(|(needed, known)| *needed == self.needed && known == scaling) {
+    /// Recomputes the allocation if its inputs changed.
+    fn update_allocation(&mut self, scaling: &Scaling) {
+        let previous = self.allocated_for.as_ref();
+        if previous.is_some_and(|(needed, known)| *needed == self.needed && known == scaling) {
             return;
         }
-        self.bought = cheapest_allocation(self.needed, scaling);
-        self.bought_for = Some((self.needed, scaling.clone()));
+        self.allocation = cheapest_allocation(self.needed, scaling);
+        self.allocated_for = Some((self.needed, scaling.clone()));
     }
 
-    /// How many endpoints are assured as long as that costs little.
+    /// The required capacity: how many endpoints must survive a reclaim.
     pub fn needed(&self) -> u32 {
         self.needed
     }
 
-    fn sample(&mut self, sight: &Observation<'_>, now: Millis) {
-        self.find(sight, now);
+    fn sample(&mut self, observation: &Observation<'_>, now: Millis) {
+        self.adopt_running(observation, now);
         let last = self.samples.back();
-        if last.is_some_and(|(at, _)| now - *at < SAMPLE) {
+        if last.is_some_and(|(at, _)| now - *at < SAMPLE_INTERVAL) {
             return;
         }
-        self.samples.push_back((now, sight.demand));
+        self.samples.push_back((now, observation.demand));
         while self
             .samples
             .front()
-            .is_some_and(|(at, _)| now - *at > MEMORY)
+            .is_some_and(|(at, _)| now - *at > DEMAND_WINDOW)
         {
             self.samples.pop_front();
         }
-        let most = self.samples.iter().map(|(_, demand)| *demand);
-        let most = most.fold(0.0, f64::max) * sight.headroom;
-        let most = most.min(f64::from(allocation::attainable(sight.scaling)));
+        let peak = self.samples.iter().map(|(_, demand)| *demand);
+        let peak = peak.fold(0.0, f64::max) * observation.headroom;
+        let peak = peak.min(f64::from(allocation::max_guaranteed(observation.scaling)));
         let needed = f64::from(self.needed);
-        let may_shrink = now - self.shrunk >= SHRINK_PAUSE;
-        let is_less = may_shrink && most < needed * (1.0 - STEP);
-        if most > needed * (1.0 + STEP) || is_less {
-            self.needed = whole(most);
+        let may_shrink = now - self.scaled_down_at >= SCALE_DOWN_COOLDOWN;
+        let is_less = may_shrink && peak < needed * (1.0 - MIN_CHANGE);
+        if peak > needed * (1.0 + MIN_CHANGE) || is_less {
+            self.needed = round_up(peak);
         }
         if is_less {
-            self.shrunk = now;
+            self.scaled_down_at = now;
         }
     }
 
-    /// Counts what operators, or a holder before, began with: they know what they need.
-    fn find(&mut self, sight: &Observation<'_>, now: Millis) {
-        if self.finding_until.is_none() && self.needed == 0 {
-            self.needed = guaranteed(sight.running);
+    /// Takes the capacity that operators or a previous holder started as required.
+    fn adopt_running(&mut self, observation: &Observation<'_>, now: Millis) {
+        if self.discovery_until.is_none() && self.needed == 0 {
+            self.needed = guaranteed(observation.running);
         }
-        let until = *self.finding_until.get_or_insert(now + FINDING);
+        let until = *self.discovery_until.get_or_insert(now + DISCOVERY_PERIOD);
         if now < until {
-            let on_demand = sight.running.values().map(|it| it.on_demand).sum();
+            let on_demand = observation.running.values().map(|it| it.on_demand).sum();
             self.needed = self.needed.max(on_demand);
-            // What was found holds for as long as a demand would.
-            self.shrunk = now + MEMORY;
+            // A discovered capacity is kept for as long as a demand peak.
+            self.scaled_down_at = now + DEMAND_WINDOW;
         }
     }
 
-    /// What is to run now, on the way to what is wanted. Of the kept endpoints so many stay as
-    /// are needed until reclaimable ones run in their place, and these have the room beside them.
-    fn wanted(&self, sight: &Observation<'_>, now: Millis) -> EndpointCounts {
-        let mut wanted = self.bought.clone();
-        if self.dry.values().any(|until| now < *until) {
-            self.replace(&mut wanted, sight);
+    /// The counts to order now, on the way to the allocation. On-demand endpoints stay until
+    /// reclaimable ones replace them; these get the remaining room of the data centre.
+    fn desired(&self, observation: &Observation<'_>, now: Millis) -> EndpointCounts {
+        let mut desired = self.allocation.clone();
+        if self.unavailable_until.values().any(|until| now < *until) {
+            self.substitute_on_demand(&mut desired, observation);
         }
-        let there = reclaimable(sight.running);
-        let on_demand: u32 = wanted.values().map(|it| it.on_demand).sum();
-        let least = self.least(&wanted, sight);
-        let mut staying = least.saturating_sub(guaranteed(&there) + on_demand);
-        for at in by_price(sight.scaling) {
-            let running = sight.running.get(at).copied().unwrap_or_default();
-            let count = wanted.entry(at.clone()).or_default();
-            let stays = staying.min(running.on_demand.saturating_sub(count.on_demand));
-            staying -= stays;
-            count.on_demand += stays;
-            let room = sight
+        let available = reclaimable(observation.running);
+        let on_demand: u32 = desired.values().map(|it| it.on_demand).sum();
+        let min_available = self.min_available(&desired, observation);
+        let mut to_retain = min_available.saturating_sub(guaranteed(&available) + on_demand);
+        for at in by_price(observation.scaling) {
+            let running = observation.running.get(at).copied().unwrap_or_default();
+            let count = desired.entry(at.clone()).or_default();
+            let retained = to_retain.min(running.on_demand.saturating_sub(count.on_demand));
+            to_retain -= retained;
+            count.on_demand += retained;
+            let free = observation
                 .scaling
                 .most
                 .saturating_sub(count.on_demand.max(running.on_demand));
-            count.reclaimable = count.reclaimable.min(room);
+            count.reclaimable = count.reclaimable.min(free);
         }
-        wanted
+        desired
     }
 
-    /// How many are there at any time while endpoints of one kind take the place of others: all
-    /// that are needed, until reclaimable ones run wherever there is room for them.
-    fn least(&self, wanted: &EndpointCounts, sight: &Observation<'_>) -> u32 {
-        let beside = |(at, count): (&name::DataCentre, &EndpointCount)| {
-            let running = sight.running.get(at).copied().unwrap_or_default();
-            let room = sight.scaling.most.saturating_sub(running.on_demand);
-            (count.reclaimable.min(room), running.reclaimable)
+    /// The minimum capacity while endpoints of one kind replace those of the other: all of the
+    /// required capacity until reclaimable endpoints run wherever there is room for them, then
+    /// [`MIN_AVAILABLE_SHARE`] of it, but at least the current demand.
+    fn min_available(&self, desired: &EndpointCounts, observation: &Observation<'_>) -> u32 {
+        let capacity = |(at, count): (&name::DataCentre, &EndpointCount)| {
+            let running = observation.running.get(at).copied().unwrap_or_default();
+            let free = observation.scaling.most.saturating_sub(running.on_demand);
+            (count.reclaimable.min(free), running.reclaimable)
         };
-        let (possible, running) = wanted
+        let (possible, running) = desired
             .iter()
-            .map(beside)
+            .map(capacity)
             .fold((0, 0), |sum, it| (sum.0 + it.0, sum.1 + it.1));
-        let has_begun = f64::from(running) >= NEARLY_ALL * f64::from(possible);
-        let part = if has_begun { LEAST_PART } else { 1.0 };
-        whole(f64::from(self.needed) * part).max(self.of_late())
+        let has_started = f64::from(running) >= STARTED_SHARE * f64::from(possible);
+        let share = if has_started {
+            MIN_AVAILABLE_SHARE
+        } else {
+            1.0
+        };
+        round_up(f64::from(self.needed) * share).max(self.recent_demand())
     }
 
-    /// Adds kept endpoints in place of reclaimable ones that can't be had, as far as the demand
-    /// of this moment asks for them.
-    fn replace(&self, wanted: &mut EndpointCounts, sight: &Observation<'_>) {
-        let there: u32 = reclaimable(sight.running).values().map(|it| it.all()).sum();
-        let on_demand: u32 = wanted.values().map(|it| it.on_demand).sum();
-        let missing = self.of_late().saturating_sub(there + on_demand);
-        allocation::add_on_demand(missing, wanted, sight.scaling);
+    /// Adds on-demand endpoints for unavailable reclaimable ones, up to the current demand.
+    fn substitute_on_demand(&self, desired: &mut EndpointCounts, observation: &Observation<'_>) {
+        let available: u32 = reclaimable(observation.running)
+            .values()
+            .map(|it| it.total())
+            .sum();
+        let on_demand: u32 = desired.values().map(|it| it.on_demand).sum();
+        let missing = self.recent_demand().saturating_sub(available + on_demand);
+        allocation::add_on_demand(missing, desired, observation.scaling);
     }
 
-    /// How many endpoints the requests of this moment need.
-    fn of_late(&self) -> u32 {
-        let recent = self.samples.iter().rev().take(RECENT);
-        let most = recent.map(|(_, demand)| *demand).fold(0.0, f64::max);
-        whole(most).min(self.needed)
+    /// How many endpoints the current requests need.
+    fn recent_demand(&self) -> u32 {
+        let recent = self.samples.iter().rev().take(RECENT_SAMPLES);
+        let peak = recent.map(|(_, demand)| *demand).fold(0.0, f64::max);
+        round_up(peak).min(self.needed)
     }
 
-    /// Whether an order is to be made: it differs from the last one, or that one had no effect.
-    /// Small differences wait until no more come.
+    /// Whether an order is due: it differs from the last one, or that one had no effect in time.
+    /// Small changes wait until the desired counts are stable.
     fn is_due(
         &self,
         scaling: &Scaling,
         counts: &EndpointCounts,
-        wish: &ScaleRequest,
+        request: &ScaleRequest,
         now: Millis,
     ) -> bool {
-        let is_dry = self
-            .dry
-            .get(&wish.data_centre)
+        let is_unavailable = self
+            .unavailable_until
+            .get(&request.data_centre)
             .is_some_and(|until| now < *until);
-        if wish.is_reclaimable && is_dry {
+        if request.is_reclaimable && is_unavailable {
             return false;
         }
-        let running = running(counts, wish);
-        let made = self
-            .made
-            .get(&(wish.data_centre.clone(), wish.is_reclaimable));
-        let last = made.map_or(running, |made| made.count);
-        if wish.count != last {
-            let difference = f64::from(wish.count.abs_diff(last));
-            let is_large = difference > LARGE * f64::from(last);
-            return is_large || now - self.changed >= SETTLED;
+        let running = running(counts, request);
+        let order = self
+            .orders
+            .get(&(request.data_centre.clone(), request.is_reclaimable));
+        let last = order.map_or(running, |order| order.count);
+        if request.count != last {
+            let difference = f64::from(request.count.abs_diff(last));
+            let is_large = difference > LARGE_CHANGE * f64::from(last);
+            return is_large || now - self.desired_since >= STABLE_PERIOD;
         }
-        let is_late = |made: &Made| now - made.at > scaling.boot + LISTING;
-        wish.count > running && made.is_some_and(is_late)
+        let is_late = |order: &PlacedOrder| now - order.at > scaling.boot + LISTING_DELAY;
+        request.count > running && order.is_some_and(is_late)
     }
 }
 
-/// The reclaimable ones among these.
+/// The same counts without on-demand endpoints.
 fn reclaimable(counts: &EndpointCounts) -> EndpointCounts {
     let counts = counts.iter();
-    let without_kept = |count: &EndpointCount| EndpointCount {
+    let without_on_demand = |count: &EndpointCount| EndpointCount {
         on_demand: 0,
         ..*count
     };
     counts
-        .map(|(at, count)| (at.clone(), without_kept(count)))
+        .map(|(at, count)| (at.clone(), without_on_demand(count)))
         .collect()
 }
 
-/// The data centres, the cheapest first.
+/// The data centres, cheapest first.
 fn by_price(scaling: &Scaling) -> impl Iterator<Item = &name::DataCentre> {
-    let mut places: Vec<_> = scaling.prices.iter().collect();
-    places.sort_by(|(_, one), (_, other)| one.total_cmp(other));
-    places.into_iter().map(|(at, _)| at)
+    let mut data_centres: Vec<_> = scaling.prices.iter().collect();
+    data_centres.sort_by(|(_, one), (_, other)| one.total_cmp(other));
+    data_centres.into_iter().map(|(at, _)| at)
 }
 
-/// How many endpoints of one kind are to run in a data centre.
+/// An order: how many endpoints of one kind should run in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleRequest {
-    /// Where.
+    /// The data centre.
     pub data_centre: name::DataCentre,
-    /// Whether the platform may take them away at short notice.
+    /// Whether the platform may reclaim them at short notice.
     pub is_reclaimable: bool,
-    /// How many.
+    /// The desired total.
     pub count: u32,
 }
 
-fn wishes(at: &name::DataCentre, count: EndpointCount) -> [ScaleRequest; 2] {
+fn requests_for(at: &name::DataCentre, count: EndpointCount) -> [ScaleRequest; 2] {
     [true, false].map(|is_reclaimable| ScaleRequest {
         data_centre: at.clone(),
         is_reclaimable,
-        count: count.of(is_reclaimable),
+        count: count.by_kind(is_reclaimable),
     })
 }
 
-fn running(counts: &EndpointCounts, wish: &ScaleRequest) -> u32 {
-    let running = counts.get(&wish.data_centre).copied().unwrap_or_default();
-    running.of(wish.is_reclaimable)
+fn running(counts: &EndpointCounts, request: &ScaleRequest) -> u32 {
+    let running = counts
+        .get(&request.data_centre)
+        .copied()
+        .unwrap_or_default();
+    running.by_kind(request.is_reclaimable)
 }
 
-/// A number of endpoints.
-fn whole(number: f64) -> u32 {
+/// Rounds up to a number of endpoints.
+fn round_up(number: f64) -> u32 {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let whole = number.ceil() as u32;
-    whole
+    let rounded = number.ceil() as u32;
+    rounded
 }
--- a/crates/core/src/relay/load_report.rs
+++ b/crates/core/src/relay/load_report.rs
@@ -1,4 +1,4 @@
-//! What entries tell one another of their load at endpoints.
+//! The load reports that entries exchange: their load by endpoint and by service.
 
 use std::collections::HashMap;
 
@@ -10,150 +10,148 @@
 use crate::relay::pace;
 use crate::relay::prefix;
 
-/// After so long the share of another entry counts for nothing: it may be gone.
-const SHARE_LIFE: Millis = Millis(1_500);
+/// How long another entry's report is used: the entry may have left since.
+const REPORT_TTL: Millis = Millis(1_500);
 
-/// What one entry has in flight at an endpoint.
+/// One entry's in-flight load at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Which life of which endpoint: its [`life_key`]. News of an earlier life so never
-    /// count for a later one.
+    /// The [`life_key`] of the endpoint and its incarnation, so that a report about an earlier
+    /// incarnation never counts for a later one.
     pub endpoint: u32,
-    /// Requests of the entry there.
+    /// In-flight requests.
     pub running: u32,
-    /// Prompt tokens of them that are not read yet.
+    /// Prompt tokens of these requests that still await prefill.
     pub prefill_tokens: u32,
-    /// Tokens of memory that its requests take or will take.
+    /// KV-cache tokens that these requests use or will use.
     pub kv_tokens: u32,
-    /// How long a token takes there now, in tenths of a ms; 0 if it was not seen of late.
+    /// The current time per output token, in tenths of a ms; 0 if not measured recently.
     pub token_time: u16,
 }
 
-/// How much engines have to do, in prompt tokens to read in each ms.
+/// The engine throughput that requests require, in prompt tokens per ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequiredRate {
-    /// For steady streams.
+    /// For streams whose events must come in quick succession.
     pub steady: f64,
-    /// For reading other prompts.
+    /// For the prefill of other prompts.
     pub prefill: f64,
-    /// How late both were of late.
+    /// The recent lateness of both kinds of streams.
     pub lateness: Lateness,
 }
 
-/// The work of one entry's requests to a service.
+/// One entry's load for a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// Which service: the [`key`] of its name.
+    /// The [`name_key`] of the service.
     pub service: u32,
-    /// What it asks of engines.
+    /// The required engine throughput.
     pub required: RequiredRate,
-    /// How fast the entry has found them to be.
+    /// The engine speed that the entry has measured.
     pub pace: pace::Told,
 }
 
-/// What an entry tells the others of its load.
+/// The load that an entry reports to the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Its load by endpoint, the heaviest first.
+    /// Its load by endpoint, heaviest first.
     pub endpoints: Vec<EndpointLoad>,
-    /// Its work by service.
+    /// Its load by service.
     pub services: Vec<ServiceLoad>,
 }
 
-/// What the other entries have told.
+/// The latest report of each other entry.
 #[derive(Debug, Default)]
 pub struct PeerReports {
-    told: HashMap<name::Entry, PeerReport>,
+    reports: HashMap<name::Entry, PeerReport>,
 }
 
 #[derive(Debug)]
 struct PeerReport {
     endpoints: HashMap<u32, EndpointLoad>,
     services: Vec<ServiceLoad>,
-    at: Millis,
+    received_at: Millis,
 }
 
-/// What the other entries have in flight at one endpoint.
+/// The in-flight load of all other entries at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerLoad {
-    /// Requests.
+    /// In-flight requests.
     pub running: f64,
-    /// Prompt tokens that are not read yet, less what has been read since.
+    /// Prompt tokens that still await prefill, less the estimated progress since the reports.
     pub prefill_tokens: f64,
-    /// Tokens of memory that the requests take or will take.
+    /// KV-cache tokens that the requests use or will use.
     pub kv_tokens: f64,
 }
 
 impl PeerReports {
-    /// Takes what an entry tells; it stands for all that it told before.
-    pub fn record(&mut self, entry: &name::Entry, tidings: &LoadReport, now: Millis) {
-        let endpoints = tidings
-            .endpoints
-            .iter()
-            .map(|share| (share.endpoint, *share));
-        let told = PeerReport {
+    /// Records an entry's report, which replaces its previous one.
+    pub fn record(&mut self, entry: &name::Entry, report: &LoadReport, now: Millis) {
+        let endpoints = report.endpoints.iter().map(|load| (load.endpoint, *load));
+        let report = PeerReport {
             endpoints: endpoints.collect(),
-            services: tidings.services.clone(),
-            at: now,
+            services: report.services.clone(),
+            received_at: now,
         };
-        self.told.insert(entry.clone(), told);
-        self.told.retain(|_, told| now - told.at < SHARE_LIFE);
+        self.reports.insert(entry.clone(), report);
+        self.reports
+            .retain(|_, report| now - report.received_at < REPORT_TTL);
     }
 
-    /// How many others have told lately.
+    /// The number of other entries with a recent report.
     pub fn count(&self, now: Millis) -> usize {
         self.live(now).count()
     }
 
-    /// What the others have at an endpoint that reads so many tokens in a ms.
+    /// The load of the other entries at an endpoint that prefills `read_rate` tokens per ms.
     pub fn load_at(&self, endpoint: &name::Life, read_rate: f64, now: Millis) -> PeerLoad {
         let key = life_key(endpoint);
-        let mut elsewhere = PeerLoad::default();
-        let mut read = 0.0;
-        for told in self.live(now) {
-            if let Some(share) = told.endpoints.get(&key) {
-                elsewhere.running += f64::from(share.running);
-                elsewhere.kv_tokens += f64::from(share.kv_tokens);
-                elsewhere.prefill_tokens += f64::from(share.prefill_tokens);
-                let age = (now - told.at).0 as f64;
-                read += f64::from(share.prefill_tokens) * age * read_rate;
+        let mut total = PeerLoad::default();
+        let mut progress = 0.0;
+        for report in self.live(now) {
+            if let Some(load) = report.endpoints.get(&key) {
+                total.running += f64::from(load.running);
+                total.kv_tokens += f64::from(load.kv_tokens);
+                total.prefill_tokens += f64::from(load.prefill_tokens);
+                let age = (now - report.received_at).0 as f64;
+                progress += f64::from(load.prefill_tokens) * age * read_rate;
             }
         }
-        // The engine reads the prompts of all entries in turn: what it has read
-        // since is shared among them.
-        if elsewhere.prefill_tokens > 0.0 {
-            let read = read / elsewhere.prefill_tokens;
-            elsewhere.prefill_tokens = (elsewhere.prefill_tokens - read).max(0.0);
+        // The engine prefills the prompts of all entries in turn, so the progress is shared
+        // among them.
+        if total.prefill_tokens > 0.0 {
+            let progress = progress / total.prefill_tokens;
+            total.prefill_tokens = (total.prefill_tokens - progress).max(0.0);
         }
-        elsewhere
+        total
     }
 
-    /// What the others' requests to a service need.
+    /// The engine throughput that the other entries' requests to a service require.
     pub fn required_rate(&self, service: &str, now: Millis) -> RequiredRate {
         let key = name_key(service);
-        let services = self.live(now).flat_map(|told| &told.services);
+        let services = self.live(now).flat_map(|report| &report.services);
         let mut all = RequiredRate::default();
-        for work in services.filter(|work| work.service == key) {
-            all.steady += work.required.steady;
-            all.prefill += work.required.prefill;
-            all.lateness.add(&work.required.lateness);
+        for load in services.filter(|load| load.service == key) {
+            all.steady += load.required.steady;
+            all.prefill += load.required.prefill;
+            all.lateness.add(&load.required.lateness);
         }
         all
     }
 
     fn live(&self, now: Millis) -> impl Iterator<Item = &PeerReport> {
-        let told = self.told.values();
-        told.filter(move |told| now - told.at < SHARE_LIFE)
+        let reports = self.reports.values();
+        reports.filter(move |report| now - report.received_at < REPORT_TTL)
     }
 }
 
-/// The short form of a name. Two names share one with a probability of one in
-/// four thousand millions; their loads are then summed.
+/// A 32-bit hash of a name. Two names collide with a probability of one in 2^32; their loads are
+/// then summed.
 pub fn name_key(name: &str) -> u32 {
     low_32_bits(name_hash(name))
 }
 
-/// The short form of an endpoint's life, as [`key`] is of a name.
+/// A 32-bit hash of an endpoint's incarnation, see [`name_key`].
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -169,18 +167,18 @@
     low_32_bits(life_hash(life))
 }
 
-/// A hash of an endpoint's life that is the same in all entries.
+/// A hash of an endpoint's incarnation that is the same in all entries.
 pub fn life_hash(life: &name::Life) -> u64 {
     let hash = name_hash(life.id.as_str());
     let started = life.started_unix;
     started.map_or(hash, |started| prefix::mix(hash, started.0))
 }
 
-/// The lower half of an evenly mixed number.
+/// The lower half of a uniformly distributed hash.
 pub(super) fn low_32_bits(hash: u64) -> u32 {
     #[allow(clippy::cast_possible_truncation)]
-    let short = hash as u32;
-    short
+    let low = hash as u32;
+    low
 }
 
 /// A hash of a name that is the same in all entries.
--- a/crates/core/src/relay/median_clock.rs
+++ b/crates/core/src/relay/median_clock.rs
@@ -1,51 +1,51 @@
-//! The time of day on which the entries agree.
+//! A wall clock that the entries agree on.
 //!
-//! Clocks of machines jump, and an entry that started meanwhile keeps the wrong time for as long
-//! as it runs. So each goes by the middle one of all readings, its own among them.
+//! System clocks jump, and an entry that starts while its clock is wrong keeps the wrong time for
+//! as long as it runs. So each entry uses the median of all entries' clocks, its own included.
 
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 use crate::name;
 
-/// After so long another entry's reading counts for nothing.
-const READING_LIFE: Millis = Millis(30_000);
+/// How long another entry's clock reading is used.
+const READING_TTL: Millis = Millis(30_000);
 
-/// What the others' clocks read, against the own.
+/// The offsets of the other entries' clocks from the local one.
 #[derive(Debug, Default)]
 pub struct MedianClock {
-    /// By how many ms each was ahead, and when that was learnt.
-    ahead: HashMap<name::Entry, (i64, Millis)>,
+    /// By how many ms each clock was ahead, and when it was read.
+    offsets: HashMap<name::Entry, (i64, Millis)>,
 }
 
 impl MedianClock {
-    /// Takes in that another entry's clock reads `theirs` while the own reads `own`.
+    /// Records that another entry's clock reads `remote` while the local one reads `local`.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
     /// use woodgap_core::relay::median_clock::MedianClock;
     ///
-    /// let mut readings = MedianClock::default();
-    /// readings.record(&"b".into(), Millis(9_000), Millis(5_000), Millis(0));
-    /// readings.record(&"c".into(), Millis(9_010), Millis(5_000), Millis(0));
-    /// assert_eq!(readings.corrected(Millis(5_500), Millis(500)), Millis(9_500));
+    /// let mut clock = MedianClock::default();
+    /// clock.record(&"b".into(), Millis(9_000), Millis(5_000), Millis(0));
+    /// clock.record(&"c".into(), Millis(9_010), Millis(5_000), Millis(0));
+    /// assert_eq!(clock.corrected(Millis(5_500), Millis(500)), Millis(9_500));
     /// ```
-    pub fn record(&mut self, entry: &name::Entry, theirs: Millis, own: Millis, now: Millis) {
-        let ahead = signed(theirs).saturating_sub(signed(own));
-        self.ahead.insert(entry.clone(), (ahead, now));
-        // Names of entries that are gone would pile up.
-        self.ahead.retain(|_, (_, at)| now - *at < READING_LIFE);
+    pub fn record(&mut self, entry: &name::Entry, remote: Millis, local: Millis, now: Millis) {
+        let offset = signed(remote).saturating_sub(signed(local));
+        self.offsets.insert(entry.clone(), (offset, now));
+        // Entries that have left would otherwise accumulate.
+        self.offsets.retain(|_, (_, at)| now - *at < READING_TTL);
     }
 
-    /// The time of day when the own clock reads `own`.
-    pub fn corrected(&self, own: Millis, now: Millis) -> Millis {
-        let fresh = self.ahead.values();
-        let fresh = fresh.filter(|(_, at)| now - *at < READING_LIFE);
-        let mut ahead: Vec<i64> = fresh.map(|(ahead, _)| *ahead).collect();
-        ahead.push(0);
-        let middle = ahead.len() / 2;
-        let (_, middle, _) = ahead.select_nth_unstable(middle);
-        Millis(own.0.saturating_add_signed(*middle))
+    /// The agreed wall-clock time when the local clock reads `local`.
+    pub fn corrected(&self, local: Millis, now: Millis) -> Millis {
+        let fresh = self.offsets.values();
+        let fresh = fresh.filter(|(_, at)| now - *at < READING_TTL);
+        let mut offsets: Vec<i64> = fresh.map(|(offset, _)| *offset).collect();
+        offsets.push(0);
+        let median = offsets.len() / 2;
+        let (_, median, _) = offsets.select_nth_unstable(median);
+        Millis(local.0.saturating_add_signed(*median))
     }
 }
 
--- a/crates/core/src/relay/plan.rs
+++ b/crates/core/src/relay/plan.rs
@@ -1,4 +1,4 @@
-//! The relay's configuration as operators write it: routes, services, workspaces.
+//! The relay's configuration: routes, services and workspaces.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::clock::Millis;
 use crate::name;
 
-/// One version of the configuration, whole.
+/// A complete version of the relay's configuration.
 ///
 /// ```
 /// use woodgap_core::relay::Plan;
@@ -19,71 +19,70 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Grows with each change; a lower one never replaces a higher one.
+    /// Increases with each change; a plan never replaces one with a higher version.
     pub version: u64,
-    /// Where requests go.
+    /// The routes that match requests.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// What the routes lead to.
+    /// The services that routes refer to.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Who may call; empty where no key is asked for.
+    /// The workspaces whose keys are accepted; empty if no key is required.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
-    /// Bounds on what callers send.
+    /// Limits on requests.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// It may run again after any failure.
+    /// It may be retried after any failure.
     Idempotent,
-    /// It may run at most once.
+    /// It may be executed at most once.
     NonIdempotent,
-    /// Its answer is a stream of events; it may run again only if the route is
-    /// resumable.
+    /// Its response is an event stream; it may be executed again only if the route is resumable.
     Stream,
 }
 
-/// A route: which requests it takes and how they are treated.
+/// A route: which requests it matches and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Unique in the plan.
     pub name: String,
-    /// The host that callers name, without a port.
+    /// The host in the request, without a port.
     pub host: String,
-    /// The beginning of the path, with a slash at both ends.
+    /// The path prefix, with a slash at both ends.
     pub prefix: String,
-    /// Whether its requests may run again.
+    /// Whether its requests may be executed more than once.
     pub kind: Kind,
-    /// How long a request may be held at most.
+    /// The maximum duration of a request.
     pub timeout: Millis,
-    /// Within this time an answer is on time; for a stream, its first event.
+    /// The latency target of the response, or of the first event of a stream.
     pub target: Millis,
-    /// For a stream: the longest pause between two events that is on time.
+    /// For a stream: the target for the time between two events.
     #[serde(default)]
     pub gap: Option<Millis>,
-    /// 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     #[serde(default)]
     pub priority: u8,
-    /// The services that share its requests.
+    /// The services that its requests are distributed to.
     pub shares: Vec<Share>,
-    /// To how many endpoints one request may be sent.
+    /// The maximum number of endpoints that a request is sent to.
     #[serde(default = "one")]
     pub attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     #[serde(default)]
     pub public: bool,
-    /// For a stream: whether another endpoint may go on after an event.
+    /// For a stream: whether another endpoint may resume it after an event.
     #[serde(default)]
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent to another endpoint.
+    /// Whether a request that may have been executed may be sent to another endpoint.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -97,60 +96,60 @@
     1
 }
 
-/// A service's part of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
     pub service: String,
-    /// Its part, relative to the others of the route.
+    /// Its weight relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// A service: endpoints that are alike.
+/// A service: a group of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Unique in the plan.
     pub name: String,
-    /// How many connections an endpoint accepts from all entries together.
+    /// The maximum number of connections to an endpoint from all entries together.
     pub connections: u32,
-    /// For model engines: what one engine has.
+    /// For model engines: the capacity of one engine.
     #[serde(default)]
     pub engine: Option<Engine>,
-    /// How many endpoints it may have, where that can be ordered.
+    /// The autoscaling limits, if its endpoints can be ordered.
     #[serde(default)]
     pub scaling: Option<Scaling>,
-    /// How many requests a second a cold endpoint bears from all entries together; none where
-    /// that is not bounded.
+    /// The maximum rate of requests to a cold endpoint from all entries together, per second; none
+    /// if unlimited.
     #[serde(default)]
     pub cold_rate: Option<f64>,
 }
 
-/// How many endpoints a service may have in each data centre, and what they cost.
+/// The autoscaling limits of a service per data centre, and the prices of its endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scaling {
-    /// At least so many of both kinds together.
+    /// The minimum number of endpoints, of both kinds together.
     pub least: u32,
-    /// At most so many.
+    /// The maximum number of endpoints, of both kinds together.
     pub most: u32,
-    /// How long a new endpoint takes until it serves.
+    /// How long a new endpoint takes to become ready.
     pub boot: Millis,
-    /// What an endpoint that may be taken away costs, as a part of the price of the others; none
-    /// where there are none of that kind.
+    /// The price of a reclaimable endpoint as a fraction of the on-demand price; none if the
+    /// platform offers no reclaimable endpoints.
     pub reclaimable_price: Option<f64>,
-    /// The price of an endpoint for a time in each data centre, one against another.
+    /// The relative price of an on-demand endpoint in each data centre.
     pub prices: BTreeMap<name::DataCentre, f64>,
 }
 
-/// What one model engine has.
+/// The capacity and features of one model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// How many requests it works on at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// How many tokens its memory holds.
+    /// The capacity of its KV cache, in tokens.
     pub memory_tokens: u32,
-    /// How many tokens an event of a stream holds.
+    /// The number of tokens per stream event.
     pub event_tokens: u32,
-    /// Whether it takes kept prompt parts from another engine.
+    /// Whether it can load cached prompt prefixes from another engine.
     #[serde(default)]
     pub moves_prompts: bool,
 }
@@ -160,29 +159,28 @@
 pub struct Workspace {
     /// Unique in the plan.
     pub name: String,
-    /// The keys that stand for it.
+    /// The API keys that identify it.
     pub keys: Vec<String>,
-    /// Comes after the route's priority at model engines; 0 is the most urgent.
+    /// Orders requests of equal route priority at model engines; 0 is the most urgent.
     #[serde(default)]
     pub priority: u8,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The largest header, in bytes.
+    /// The maximum size of the header, in bytes.
     pub header_bytes: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of the body, in bytes.
     pub body_bytes: usize,
-    /// The longest time for a header to arrive.
+    /// The maximum time to receive the header.
     pub header_timeout: Millis,
-    /// The longest rest of a connection between two requests.
+    /// The maximum idle time of a connection between two requests.
     pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
-    /// What holds where a plan says nothing: the defaults of the entry's own
-    /// settings.
+    /// The limits if a plan sets none: the defaults of the entry's own settings.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -193,32 +191,32 @@
     }
 }
 
-/// Why a plan can't be in force.
+/// Why a plan is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// Two routes take the same requests.
+    /// Two routes match the same requests.
     #[error("routes `{0}` and `{1}` have the same host and prefix")]
     DuplicateRoute(String, String),
     /// A prefix does not begin and end with a slash.
     #[error("route `{0}`: the prefix must begin and end with a slash")]
     InvalidPrefix(String),
-    /// A route leads nowhere.
+    /// A route has no service to send requests to.
     #[error("route `{0}` has no service with a weight above 0")]
     NoWeightedService(String),
-    /// A route leads to a service that the plan does not have.
+    /// A route refers to a service that the plan does not define.
     #[error("route `{0}` names the unknown service `{1}`")]
     UnknownService(String, String),
-    /// A key stands for two workspaces.
+    /// A key identifies two workspaces.
     #[error("workspaces `{0}` and `{1}` have a key in common")]
     DuplicateKey(String, String),
 }
 
 impl Plan {
-    /// Checks that each part is sound on its own and that they fit together.
+    /// Checks each route, and that the services it refers to exist.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong.
+    /// The first error found.
     pub fn check(&self) -> Result<(), Error> {
         self.routes
             .iter()
@@ -233,8 +231,8 @@
         if route.shares.iter().all(|share| share.weight == 0) {
             return Err(Error::NoWeightedService(name()));
         }
-        let known = |share: &&Share| self.services.iter().all(|it| it.name != share.service);
-        match route.shares.iter().find(known) {
+        let is_unknown = |share: &&Share| self.services.iter().all(|it| it.name != share.service);
+        match route.shares.iter().find(is_unknown) {
             Some(share) => Err(Error::UnknownService(name(), share.service.clone())),
             None => Ok(()),
         }
--- a/crates/core/src/relay/platform_clock.rs
+++ b/crates/core/src/relay/platform_clock.rs
@@ -1,44 +1,61 @@
-//! When an answer of the platform was made, on our own clock.
+//! Estimates when the platform generated a response, on the local monotonic clock.
 //!
-//! An answer may have been held for a while, and may have been long on its way.
-//! It was certainly made after it was asked for; where the platform tells its own
-//! steady clock, earlier answers say more.
+//! A response may have been held by the platform (long polling) and delayed in transit. It was
+//! certainly generated after it was requested; where the platform reports its own monotonic clock,
+//! earlier responses give a tighter bound.
 
 use crate::clock::Millis;
 
-/// How far the platform's steady clock is behind ours, at least.
+/// Tracks the offset of the platform's monotonic clock.
 #[derive(Debug, Default)]
 pub struct PlatformClock {
-    behind: Option<i128>,
+    /// A lower bound on how many ms the platform's clock is behind the local one.
+    offset: Option<i128>,
 }
 
 impl PlatformClock {
-    /// The latest moment at which an answer is known not to have been made yet:
-    /// between the one at which it was asked for and the one at which it came.
+    /// Returns a lower bound on the local time at which a response was generated, between
+    /// `requested_at` and `received_at`.
     ///
-    /// `made` is the platform's steady clock when it made the answer.
+    /// `generated_at` is the platform's monotonic clock when it generated the response.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
     /// use woodgap_core::relay::platform_clock::PlatformClock;
     ///
-    /// let mut dating = PlatformClock::default();
-    /// // An answer that came at once shows how the clocks stand.
-    /// assert_eq!(dating.response_time(Millis(100), Some(Millis(5_000)), Millis(104)), Millis(100));
-    /// // So one that was held for two seconds is known to be fresh.
-    /// assert_eq!(dating.response_time(Millis(110), Some(Millis(7_005)), Millis(2_109)), Millis(2_105));
-    /// // Nothing is dated later than it came.
-    /// assert_eq!(dating.response_time(Millis(2_110), Some(Millis(99_000)), Millis(2_114)), Millis(2_114));
+    /// let mut clock = PlatformClock::default();
+    /// // A fast response gives a tight bound on the clock offset.
+    /// assert_eq!(
+    ///     clock.response_time(Millis(100), Some(Millis(5_000)), Millis(104)),
+    ///     Millis(100),
+    /// );
+    /// // With it, a response that the platform held for two seconds is known to be fresh.
+    /// assert_eq!(
+    ///     clock.response_time(Millis(110), Some(Millis(7_005)), Millis(2_109)),
+    ///     Millis(2_105),
+    /// );
+    /// // The estimate is never later than the time of receipt.
+    /// assert_eq!(
+    ///     clock.response_time(Millis(2_110), Some(Millis(99_000)), Millis(2_114)),
+    ///     Millis(2_114),
+    /// );
     /// ```
-    pub fn response_time(&mut self, asked: Millis, made: Option<Millis>, came: Millis) -> Millis {
-        let Some(made) = made else {
-            return asked;
+    pub fn response_time(
+        &mut self,
+        requested_at: Millis,
+        generated_at: Option<Millis>,
+        received_at: Millis,
+    ) -> Millis {
+        let Some(generated_at) = generated_at else {
+            return requested_at;
         };
-        let made = i128::from(made.0);
-        let least = i128::from(asked.0) - made;
-        let behind = self.behind.map_or(least, |known| known.max(least));
-        self.behind = Some(behind);
-        let dated = u64::try_from(made + behind).unwrap_or(0);
-        Millis(dated).clamp(asked, came.max(asked))
+        let generated_at = i128::from(generated_at.0);
+        let lower_bound = i128::from(requested_at.0) - generated_at;
+        let offset = self
+            .offset
+            .map_or(lower_bound, |known| known.max(lower_bound));
+        self.offset = Some(offset);
+        let estimate = u64::try_from(generated_at + offset).unwrap_or(0);
+        Millis(estimate).clamp(requested_at, received_at.max(requested_at))
     }
 }
--- a/crates/core/src/relay/polling.rs
+++ b/crates/core/src/relay/polling.rs
@@ -1,62 +1,60 @@
-//! Which entries ask the platform, and which learn from the others.
+//! Decides which entries poll the platform, while the others learn its state by gossip.
 //!
-//! Each call of the platform is paid for and its rates are shared by the fleet.
-//! So a few entries, the readers, ask it all the time, and the others learn from them.
+//! Platform calls are billed, and their rate limits are shared by the fleet. So a few entries, the
+//! pollers, long-poll the platform continuously and the others learn from them.
 //!
-//! The load pattern: a platform that is down, slow or turns callers away for seconds.
-//! Then nobody's plan is confirmed any more, all entries notice at nearly the same
-//! moment, and hundreds that each ask cost more than all else that the fleet does. So
-//! they share a bounded number of tries between them, by lot: whoever is answered tells
-//! the rest at once, and an entry that hears nobody tries for itself. Calls for the plan
-//! of 295 entries while the platform is away for 8 s, simulated: 65, and 2,851 where each
-//! asks; all plans are confirmed 210 ms after its return, and 520 ms.
+//! The load pattern: a platform that is down, slow or rejects callers for seconds. Then no entry's
+//! plan is confirmed, all entries notice at nearly the same time, and hundreds of them polling
+//! would cost more than everything else that the fleet does. So they share a bounded number of
+//! polls by random draw: whoever gets a response tells the others at once, and an entry without
+//! peers polls on its own. In a simulated outage of 8 s, 295 entries make 65 calls for the plan
+//! (2,851 if each polls), and all plans are confirmed 210 ms after it ends (520 ms).
 
 use crate::clock::Millis;
 
-/// How many entries ask all the time: one may stand still or be turned away, and
-/// the plan is still confirmed.
-const READERS: usize = 2;
-/// How long the platform may hold a question of those about the plan.
-const PLAN_WAIT: Millis = Millis(1_000);
-/// How long it may hold one about endpoints: nothing hangs on its confirmation.
-const ENDPOINTS_WAIT: Millis = Millis(25_000);
-/// So old a confirmation has the others ask too, beside the time that news take to
-/// reach all entries: the wait, and what a call may take.
-const ALARM_AGE: Millis = Millis(1_200);
-/// How long an entry that has just started waits for the others' answers before it asks
-/// for itself: some rounds of its first messages. After a loss of power of everything the
-/// seeds may be the last to come back, and callers are waiting.
-const FIRST_ANSWERS: Millis = Millis(100);
-/// How long it waits for what they know: the platform may know nothing yet either.
-const FIRST_NEWS: Millis = Millis(1_500);
-/// For how long an entry that has started does not count itself among the readers: it
-/// knows a part of the fleet only, and would think itself one of the first.
-const SETTLED: Millis = Millis(3_000);
-/// How often an entry looks whether it is its turn.
+/// How many entries poll continuously: one may stall or be rejected while the plan is still
+/// confirmed.
+const POLLERS: usize = 2;
+/// How long the platform may hold a poller's request for the plan.
+const PLAN_POLL_WAIT: Millis = Millis(1_000);
+/// How long the platform may hold a request for the endpoints, whose confirmation is not urgent.
+const ENDPOINTS_POLL_WAIT: Millis = Millis(25_000);
+/// The age of a confirmation, in addition to the gossip propagation delay, beyond which the other
+/// entries poll too: the wait of a poll plus the time that a call may take.
+const STALE_AGE: Millis = Millis(1_200);
+/// How long an entry that has just started waits to hear from a peer before it polls itself: a few
+/// rounds of its first messages. After a power loss of the whole system the seeds may be the last
+/// to come back while callers are waiting.
+const FIRST_CONTACT_TIMEOUT: Millis = Millis(100);
+/// How long it waits for data from its peers: the platform may have none yet either.
+const FIRST_DATA_TIMEOUT: Millis = Millis(1_500);
+/// How long after its start an entry does not act as a poller: it knows only part of the fleet and
+/// would rank itself too high.
+const CONVERGENCE_TIME: Millis = Millis(3_000);
+/// How often an entry decides whether to poll.
 pub const CHECK_INTERVAL: Millis = Millis(100);
-/// How many entries ask by lot in the time between two looks while nobody's plan is
-/// confirmed: first, while there is time left before keys are distrusted, so many that one
-/// is answered in time though nine of ten are turned away; then so many that the
-/// platform's return is seen within 200 ms.
-const TRIES: (f64, f64) = (3.0, 0.5);
-/// For how long it is tried so often at first.
-const URGENT: Millis = Millis(1_400);
-/// For how long, at least, an entry that was answered by lot goes on as a reader: until
-/// the others have heard which of the readers are turned away.
-const LEAST_TERM: Millis = Millis(5_000);
-/// The first and the longest pause after a failed call.
-const PAUSES: (Millis, Millis) = (Millis(150), Millis(1_000));
-
-/// What an entry is to do about the platform now.
+/// The expected number of entries that poll per [`CHECK_INTERVAL`] while no plan is confirmed. At
+/// first, before API keys stop being accepted, enough that one gets a response in time even if nine
+/// of ten are rejected; then enough to notice the platform's recovery within 200 ms.
+const EXPECTED_POLLS: (f64, f64) = (3.0, 0.5);
+/// How long the first, higher number applies.
+const URGENT_PERIOD: Millis = Millis(1_400);
+/// The minimum time for which an entry that got a response after a random draw acts as a poller:
+/// until the others know which of the pollers are rejected.
+const MIN_SUBSTITUTE_TERM: Millis = Millis(5_000);
+/// The first and the longest backoff after a failed call.
+const BACKOFF: (Millis, Millis) = (Millis(150), Millis(1_000));
+
+/// Whether an entry polls the platform now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollDecision {
-    /// Ask, and have the question held for so long.
+    /// Poll, and let the platform hold the request for this long.
     Poll(Millis),
-    /// Learn from the others.
+    /// Rely on gossip.
     Skip,
 }
 
-/// What is asked about.
+/// What is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// The plan.
@@ -65,42 +63,42 @@
     Endpoints,
 }
 
-/// What an entry knows of the subject.
+/// When an entry's knowledge of the subject was last confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It has learnt it, and its plan was last confirmed so long ago.
+    /// The entry has the data, and its plan was last confirmed this long ago.
     Age(Millis),
-    /// It has not learnt it.
+    /// The entry has no data yet.
     Never,
 }
 
-/// Where an entry stands among the others.
+/// An entry's role in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryStatus {
-    /// How many others come before it as readers.
+    /// How many other entries precede it as pollers.
     pub rank: usize,
-    /// Whether it is among those that others ask first at their start.
+    /// Whether it is one of the seeds, which other entries contact first at their start.
     pub is_seed: bool,
-    /// Whether the whole system starts for the first time, so that nobody waits for it yet.
+    /// Whether the whole system starts for the first time, so that no callers are waiting yet.
     pub is_first_start: bool,
-    /// Whether it was drawn by lot, was answered, and stands in for the readers.
+    /// Whether it substitutes for the pollers, having got a response after a random draw.
     pub is_substitute: bool,
-    /// For how long it has run.
+    /// How long it has been running.
     pub uptime: Millis,
-    /// How many other entries it is in touch with, about.
+    /// The approximate number of other live entries it knows.
     pub peers: usize,
-    /// How long news take to reach all entries.
+    /// How long gossip takes to reach all entries.
     pub propagation_delay: Millis,
 }
 
 impl EntryStatus {
-    /// Whether the entry has run for long enough to know its rank.
+    /// Whether the entry has run long enough to know its rank.
     pub fn has_converged(&self) -> bool {
         has_converged(self.uptime)
     }
 }
 
-/// Whether an entry that has run for so long knows nearly all of the fleet.
+/// Whether an entry's view of the fleet is nearly complete after running for this long.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -110,20 +108,20 @@
 /// assert!(has_converged(Millis(3_000)));
 /// ```
 pub fn has_converged(uptime: Millis) -> bool {
-    uptime >= SETTLED
+    uptime >= CONVERGENCE_TIME
 }
 
-/// The duty of an entry, looked for once in a [`LOOK`]; `lot` is drawn anew for each look,
-/// evenly from 0 to 1.
+/// Decides whether an entry polls, once per [`CHECK_INTERVAL`]; `draw` is a new uniform random
+/// number from 0 to 1 each time.
 ///
-/// Entries that start together know no rank yet. Those that the others ask first, the
-/// seeds, begin; the rest wait for what these learn.
+/// Entries that start together don't know their ranks yet. The seeds poll first, and the others
+/// wait for what they learn.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::polling::{PollDecision, Confirmation, EntryStatus, Subject, decide};
+/// use woodgap_core::relay::polling::{Confirmation, EntryStatus, PollDecision, Subject, decide};
 ///
-/// let reader = EntryStatus {
+/// let poller = EntryStatus {
 ///     rank: 0,
 ///     is_seed: false,
 ///     is_first_start: false,
@@ -133,40 +131,40 @@
 ///     propagation_delay: Millis(900),
 /// };
 /// let fresh = Confirmation::Age(Millis(9));
-/// assert_eq!(decide(Subject::Plan, &reader, fresh, 0.0), PollDecision::Poll(Millis(1_000)));
-/// let other = EntryStatus { rank: 7, ..reader };
+/// assert_eq!(decide(Subject::Plan, &poller, fresh, 0.0), PollDecision::Poll(Millis(1_000)));
+/// let other = EntryStatus { rank: 7, ..poller };
 /// assert_eq!(decide(Subject::Plan, &other, fresh, 0.0), PollDecision::Skip);
-/// // Three in a hundred try in each look while the plan is not confirmed.
+/// // While the plan is not confirmed, three in a hundred entries poll per interval.
 /// let old = Confirmation::Age(Millis(2_500));
 /// assert_eq!(decide(Subject::Plan, &other, old, 0.029), PollDecision::Poll(Millis(0)));
 /// assert_eq!(decide(Subject::Plan, &other, old, 0.031), PollDecision::Skip);
 /// ```
 pub fn decide(
     subject: Subject,
-    standing: &EntryStatus,
-    knows: Confirmation,
-    lot: f64,
+    status: &EntryStatus,
+    confirmation: Confirmation,
+    draw: f64,
 ) -> PollDecision {
-    let held = match subject {
-        Subject::Plan => PLAN_WAIT,
-        Subject::Endpoints => ENDPOINTS_WAIT,
+    let wait = match subject {
+        Subject::Plan => PLAN_POLL_WAIT,
+        Subject::Endpoints => ENDPOINTS_POLL_WAIT,
     };
-    let (many, few) = TRIES;
-    // Each draws for itself, and all together come to about so many tries.
-    let is_drawn = |tries: f64| lot < tries / (standing.peers + 1) as f64;
-    match knows {
-        Confirmation::Never if standing.is_seed || is_alone(standing) => PollDecision::Poll(held),
-        Confirmation::Never if is_without_news(standing) && is_drawn(few) => {
-            PollDecision::Poll(held)
+    let (urgent, regular) = EXPECTED_POLLS;
+    // Each entry draws independently, so that the expected total is about this number.
+    let is_drawn = |expected: f64| draw < expected / (status.peers + 1) as f64;
+    match confirmation {
+        Confirmation::Never if status.is_seed || is_isolated(status) => PollDecision::Poll(wait),
+        Confirmation::Never if has_waited_for_data(status) && is_drawn(regular) => {
+            PollDecision::Poll(wait)
         }
-        Confirmation::Age(_) if is_reader(standing) => PollDecision::Poll(held),
-        // Whoever is answered about the plan asks for the endpoints then.
+        Confirmation::Age(_) if is_poller(status) => PollDecision::Poll(wait),
+        // An entry that gets the plan then polls for the endpoints as well.
         Confirmation::Age(age)
-            if subject == Subject::Plan && is_stale(age, standing.propagation_delay) =>
+            if subject == Subject::Plan && is_stale(age, status.propagation_delay) =>
         {
-            let is_urgent = !is_stale(age, standing.propagation_delay + URGENT);
-            let tries = if is_urgent { many } else { few };
-            if is_drawn(tries) {
+            let is_urgent = !is_stale(age, status.propagation_delay + URGENT_PERIOD);
+            let expected = if is_urgent { urgent } else { regular };
+            if is_drawn(expected) {
                 PollDecision::Poll(Millis::ZERO)
             } else {
                 PollDecision::Skip
@@ -176,49 +174,47 @@
     }
 }
 
-/// For how long an entry stands in for the readers after it was drawn by lot and answered,
-/// where an entry may be silent for `patience` before the others take it for gone.
-pub fn substitute_term(patience: Millis) -> Millis {
-    LEAST_TERM.max(patience)
+/// How long an entry substitutes for the pollers after it got a response to a drawn poll; `timeout`
+/// is how long an entry may be silent before its peers consider it dead.
+pub fn substitute_term(timeout: Millis) -> Millis {
+    MIN_SUBSTITUTE_TERM.max(timeout)
 }
 
-/// Whether an entry that has just started hears nobody whom it could learn from.
-fn is_alone(standing: &EntryStatus) -> bool {
-    let patience = if standing.is_first_start {
-        FIRST_NEWS
+/// Whether an entry that has just started has no peer to learn from.
+fn is_isolated(status: &EntryStatus) -> bool {
+    let timeout = if status.is_first_start {
+        FIRST_DATA_TIMEOUT
     } else {
-        FIRST_ANSWERS
+        FIRST_CONTACT_TIMEOUT
     };
-    standing.peers == 0 && standing.uptime >= patience
+    status.peers == 0 && status.uptime >= timeout
 }
 
-/// Whether it has waited long enough for what the others learn.
-fn is_without_news(standing: &EntryStatus) -> bool {
-    standing.uptime >= FIRST_NEWS + standing.propagation_delay
+/// Whether it has waited long enough for data from its peers.
+fn has_waited_for_data(status: &EntryStatus) -> bool {
+    status.uptime >= FIRST_DATA_TIMEOUT + status.propagation_delay
 }
 
-fn is_reader(standing: &EntryStatus) -> bool {
-    let is_first = standing.rank < READERS;
-    standing.is_substitute || (is_first && (standing.is_seed || standing.has_converged()))
+fn is_poller(status: &EntryStatus) -> bool {
+    let is_first = status.rank < POLLERS;
+    status.is_substitute || (is_first && (status.is_seed || status.has_converged()))
 }
 
-/// Whether a plan that was confirmed so long ago has not been for longer than the
-/// readers take.
-pub fn is_stale(age: Millis, spread: Millis) -> bool {
-    age > ALARM_AGE + spread
+/// Whether a confirmation is older than the pollers need to renew and propagate it.
+pub fn is_stale(age: Millis, propagation_delay: Millis) -> bool {
+    age > STALE_AGE + propagation_delay
 }
 
-/// Whether an entry that was asked by another asks back at once: its own plan is not
-/// confirmed any more, and the other tells that its own is.
+/// Whether an entry that was queried by a peer queries it back at once: its own plan is stale and
+/// the peer's is not.
 ///
-/// So a confirmation reaches all entries within some round trips once one of them got
-/// it, and not after some rounds.
-pub fn should_query_back(own_age: Millis, told_age: Millis, spread: Millis) -> bool {
-    is_stale(own_age, spread) && !is_stale(told_age, spread)
+/// So a confirmation reaches all entries within a few round trips instead of a few gossip rounds.
+pub fn should_query_back(own_age: Millis, peer_age: Millis, propagation_delay: Millis) -> bool {
+    is_stale(own_age, propagation_delay) && !is_stale(peer_age, propagation_delay)
 }
 
-/// How long to wait after so many failed calls in a row; `lot` as in [`duty`]. Entries
-/// that lost the platform together do not come back together.
+/// The jittered exponential backoff after consecutive failed calls, so that entries that lost the
+/// platform together don't retry together; `draw` as in [`decide`].
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -228,12 +224,12 @@
 /// assert_eq!(backoff(9, 0.0), Millis(500));
 /// assert_eq!(backoff(9, 1.0), Millis(1_000));
 /// ```
-pub fn backoff(failures: u32, lot: f64) -> Millis {
-    let (first, longest) = PAUSES;
-    let most = first.0.saturating_mul(1 << failures.min(6));
-    let most = most.min(longest.0) as f64;
-    let backoff = most / 2.0 * (1.0 + lot.clamp(0.0, 1.0));
-    // At most the longest pause.
+pub fn backoff(failures: u32, draw: f64) -> Millis {
+    let (first, max_backoff) = BACKOFF;
+    let max = first.0.saturating_mul(1 << failures.min(6));
+    let max = max.min(max_backoff.0) as f64;
+    let backoff = max / 2.0 * (1.0 + draw.clamp(0.0, 1.0));
+    // At most the longest backoff, which fits.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let backoff = backoff as u64;
     Millis(backoff)
--- a/crates/core/src/relay/usage.rs
+++ b/crates/core/src/relay/usage.rs
@@ -1,11 +1,12 @@
-//! How many requests endpoints began to run, by workspace and window of time.
+//! Usage metering: the number of requests that endpoints began to run, by workspace and time
+//! window.
 //!
-//! Each entry counts what it sent, and tells all that it has counted again and again: of an
-//! entry and a window the greatest count stands, so a message may be lost, come twice or come
-//! late. Whoever reports sums up what the entries told.
+//! Each entry counts the requests that it sent and broadcasts its cumulative counts repeatedly. The
+//! highest count per entry and window wins, so messages may be lost, duplicated or delayed. The
+//! entry that reports usage adds up the counts of all entries.
 //!
-//! The load pattern: entries that are killed by the dozen while they count, and a window that
-//! must be reported a few seconds after its end, within a small part of the truth.
+//! The load pattern: dozens of entries are killed while they count, and a window must be reported
+//! within a few seconds of its end with a small error.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +15,15 @@
 use crate::clock::Millis;
 use crate::name;
 
-/// How many windows are remembered that were not reported yet: more than are still due.
-const MOST_WINDOWS: usize = 16;
-/// How long after its end a window is reported: endpoints' answers are under way, and each entry
-/// has told its last counts some times.
+/// The maximum number of unsettled windows kept: more than can still be due.
+const MAX_OPEN_WINDOWS: usize = 16;
+/// How long after its end a window is settled: endpoint responses still arrive, and each entry has
+/// to broadcast its final counts a few times.
 pub const SETTLE_DELAY: Millis = Millis(1_700);
-/// How far ahead of the own time a window may begin of which another entry tells.
-const MOST_AHEAD: Millis = Millis(10_000);
+/// How far in the future the window of a received report may begin.
+const MAX_LEAD: Millis = Millis(10_000);
 
-/// A window of time: windows are numbered from the Unix epoch on.
+/// A time window, numbered from the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -30,7 +31,7 @@
 pub struct Window(pub u64);
 
 impl Window {
-    /// The window that a moment lies in, where windows are so long.
+    /// The window of the given length that contains a time, in ms since the Unix epoch.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -44,7 +45,7 @@
         Self(unix.0 / length.0.max(1))
     }
 
-    /// The moment at which it ends, in ms since the Unix epoch.
+    /// The end of the window, in ms since the Unix epoch.
     pub fn end(self, length: Millis) -> Millis {
         Millis((self.0 + 1) * length.0)
     }
@@ -56,27 +57,27 @@
     }
 }
 
-/// Requests by workspace.
+/// Request counts by workspace.
 pub type Counts = BTreeMap<name::Workspace, u64>;
 
-/// What one entry has counted of a window so far.
+/// One entry's cumulative counts for a window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
     /// The window.
     pub window: Window,
-    /// All requests of the window up to now, for some or all workspaces.
+    /// The requests of the window so far, for some or all workspaces.
     pub counts: Vec<(name::Workspace, u64)>,
 }
 
-/// Something of each window that is not settled, a bounded number of them.
+/// A value for each unsettled window, up to [`MAX_OPEN_WINDOWS`].
 #[derive(Debug)]
-struct Open<T> {
+struct OpenWindows<T> {
     windows: BTreeMap<Window, T>,
-    /// Up to this window nothing is taken any more.
+    /// The last settled window; updates to it and to earlier ones are ignored.
     settled: Option<Window>,
 }
 
-impl<T> Default for Open<T> {
+impl<T> Default for OpenWindows<T> {
     fn default() -> Self {
         Self {
             windows: BTreeMap::new(),
@@ -85,15 +86,15 @@
     }
 }
 
-impl<T: Default> Open<T> {
-    /// Changes what there is of a window, if that is open. Where there are too many, the oldest
-    /// is dropped.
-    fn change(&mut self, window: Window, change: impl FnOnce(&mut T)) {
+impl<T: Default> OpenWindows<T> {
+    /// Updates the value of a window unless it is settled. Drops the oldest window if there are too
+    /// many.
+    fn update(&mut self, window: Window, update: impl FnOnce(&mut T)) {
         if self.settled.is_some_and(|settled| window <= settled) {
             return;
         }
-        change(self.windows.entry(window).or_default());
-        if self.windows.len() > MOST_WINDOWS {
+        update(self.windows.entry(window).or_default());
+        if self.windows.len() > MAX_OPEN_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -104,81 +105,81 @@
     }
 }
 
-/// An entry's own counts.
+/// An entry's own counts of unsettled windows.
 #[derive(Debug, Default)]
-pub struct Meter(Open<Counts>);
+pub struct Meter(OpenWindows<Counts>);
 
 impl Meter {
     /// Counts a request that an endpoint began to run in a window.
     pub fn count(&mut self, window: Window, workspace: &name::Workspace) {
-        self.0.change(window, |counts| {
+        self.0.update(window, |counts| {
             *counts.entry(workspace.clone()).or_default() += 1;
         });
     }
 
-    /// All that was counted of windows that are not settled.
+    /// The counts of all unsettled windows.
     pub fn snapshot(&self) -> impl Iterator<Item = WindowCounts> {
         self.0.windows.iter().map(|(window, counts)| WindowCounts {
             window: *window,
             counts: counts
                 .iter()
-                .map(|(of, count)| (of.clone(), *count))
+                .map(|(workspace, count)| (workspace.clone(), *count))
                 .collect(),
         })
     }
 
-    /// Notes that all windows up to this one are settled.
+    /// Settles all windows up to and including this one.
     pub fn settle_through(&mut self, through: Window) {
         self.0.settle(through);
     }
 }
 
-/// One life of an entry.
-type Teller = (name::Entry, name::Incarnation);
+/// An entry and its incarnation.
+type Source = (name::Entry, name::Incarnation);
 
-/// What the entries told, of windows that are not settled.
+/// The counts that entries reported, for unsettled windows.
 #[derive(Debug, Default)]
-pub struct UsageTotals(Open<BTreeMap<Teller, Counts>>);
+pub struct UsageTotals(OpenWindows<BTreeMap<Source, Counts>>);
 
 impl UsageTotals {
-    /// Takes in what a life of an entry told; `unix` is the time of day now, and windows are so
-    /// long.
-    pub fn record(&mut self, from: &Teller, told: WindowCounts, unix: Millis, length: Millis) {
-        if told.window > Window::at(unix + MOST_AHEAD, length) {
+    /// Records the counts reported by an entry's incarnation; `unix` is the current wall-clock time
+    /// and `length` the window length.
+    pub fn record(&mut self, from: &Source, report: WindowCounts, unix: Millis, length: Millis) {
+        if report.window > Window::at(unix + MAX_LEAD, length) {
             return;
         }
-        self.0.change(told.window, |tellers| {
-            let counts = tellers.entry(from.clone()).or_default();
-            for (workspace, count) in told.counts {
-                let known = counts.entry(workspace).or_default();
-                *known = count.max(*known);
+        self.0.update(report.window, |sources| {
+            let counts = sources.entry(from.clone()).or_default();
+            for (workspace, count) in report.counts {
+                let current = counts.entry(workspace).or_default();
+                *current = count.max(*current);
             }
         });
     }
 
-    /// The sum of all entries for a window.
+    /// The totals of all entries for a window.
     pub fn total(&self, window: Window) -> Counts {
-        let mut sum = Counts::new();
-        let tellers = self.0.windows.get(&window).into_iter().flatten();
-        for (workspace, count) in tellers.flat_map(|(_, counts)| counts) {
-            *sum.entry(workspace.clone()).or_default() += count;
+        let mut total = Counts::new();
+        let sources = self.0.windows.get(&window).into_iter().flatten();
+        for (workspace, count) in sources.flat_map(|(_, counts)| counts) {
+            *total.entry(workspace.clone()).or_default() += count;
         }
-        sum
+        total
     }
 
-    /// How many lives of entries have told of a window.
+    /// The number of entry incarnations that reported a window.
     pub fn source_count(&self, window: Window) -> usize {
         self.0.windows.get(&window).map_or(0, BTreeMap::len)
     }
 
-    /// Notes that all windows up to this one are settled.
+    /// Settles all windows up to and including this one.
     pub fn settle_through(&mut self, through: Window) {
         self.0.settle(through);
     }
 }
 
-/// The window to settle now, if one is due: each in turn, and none twice. `first` is the window
-/// in which the system began to be reported on, for a system of which none is settled.
+/// Returns the next window to settle, if it is due. Windows are settled in order and only once;
+/// `first` is the window to start with if none has been settled.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
--- a/crates/core/tests/relay/autoscaling.rs
+++ b/crates/core/tests/relay/autoscaling.rs
@@ -1,4 +1,4 @@
-//! How many endpoints run, against a platform that starts, takes away and refuses them.
+//! The autoscaler against a simulated platform that starts, reclaims and refuses endpoints.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 };
 use woodgap_core::relay::plan::Scaling;
 
-/// The time between two looks.
-const LOOK: Millis = Millis(100);
+/// The time between two steps of the simulation.
+const STEP: Millis = Millis(100);
 
 fn scaling(price: Option<f64>) -> Scaling {
     let prices = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
@@ -30,58 +30,58 @@
 /// Endpoints of one kind in one data centre.
 #[derive(Clone, Debug, Default)]
 struct Group {
-    wanted: u32,
-    /// When each began to start.
+    ordered: u32,
+    /// When each endpoint started booting.
     running: Vec<Millis>,
 }
 
-/// The platform, as the users describe theirs.
+/// A simulated platform.
 struct Platform {
     scaling: Scaling,
     groups: BTreeMap<(DataCentre, bool), Group>,
     now: Millis,
-    dry_until: Millis,
-    /// Data centres where nothing may be sent.
+    unavailable_until: Millis,
+    /// Evacuated data centres.
     evacuated: Vec<DataCentre>,
     orders: Vec<Millis>,
     refused: usize,
-    /// Endpoints times ms, at their price.
-    paid: f64,
+    /// The total cost: endpoints times ms times price.
+    cost: f64,
 }
 
 impl Platform {
     fn new(scaling: Scaling, on_demand: u32) -> Self {
         let group = Group {
-            wanted: on_demand,
+            ordered: on_demand,
             running: (0..on_demand).map(|_| Millis::ZERO).collect(),
         };
-        let places = scaling.prices.keys();
-        let groups = places.map(|at| ((at.clone(), false), group.clone()));
+        let data_centres = scaling.prices.keys();
+        let groups = data_centres.map(|at| ((at.clone(), false), group.clone()));
         Self {
             groups: groups.collect(),
             scaling,
-            // All that runs at first has started long ago.
+            // The initial endpoints have long been ready.
             now: Millis(100_000),
-            dry_until: Millis::ZERO,
+            unavailable_until: Millis::ZERO,
             evacuated: Vec::new(),
             orders: Vec::new(),
             refused: 0,
-            paid: 0.0,
+            cost: 0.0,
         }
     }
 
     fn running(&self) -> EndpointCounts {
-        let places = self.scaling.prices.keys();
-        let up = |at: &DataCentre, is_reclaimable: bool| {
+        let data_centres = self.scaling.prices.keys();
+        let ready_count = |at: &DataCentre, is_reclaimable: bool| {
             let group = self.groups.get(&(at.clone(), is_reclaimable));
-            let ready = |began: &&Millis| **began + self.scaling.boot <= self.now;
-            let up = group.map_or(0, |group| group.running.iter().filter(ready).count());
-            u32::try_from(up).unwrap()
+            let ready = |started: &&Millis| **started + self.scaling.boot <= self.now;
+            let ready_count = group.map_or(0, |group| group.running.iter().filter(ready).count());
+            u32::try_from(ready_count).unwrap()
         };
-        let counts = places.map(|at| {
+        let counts = data_centres.map(|at| {
             let count = EndpointCount {
-                on_demand: up(at, false),
-                reclaimable: up(at, true),
+                on_demand: ready_count(at, false),
+                reclaimable: ready_count(at, true),
             };
             (at.clone(), count)
         });
@@ -89,19 +89,19 @@
     }
 
     fn total(&self) -> u32 {
-        self.running().values().map(|it| it.all()).sum()
+        self.running().values().map(|it| it.total()).sum()
     }
 
-    /// All of a data centre's reclaimable endpoints are taken away, and there are none to be had
+    /// Reclaims all reclaimable endpoints of a data centre; the platform refuses new ones anywhere
     /// for a while.
-    fn reclaim(&mut self, at: &str, dry: Millis) {
+    fn reclaim(&mut self, at: &str, outage: Millis) {
         let group = self.groups.entry((DataCentre::from(at), true));
         group.or_default().running.clear();
-        self.dry_until = self.now + dry;
+        self.unavailable_until = self.now + outage;
     }
 
-    /// One look of whoever sizes the service.
-    fn look(&mut self, sizing: &mut Autoscaler, demand: f64) {
+    /// Runs the autoscaler once and places its orders.
+    fn step(&mut self, autoscaler: &mut Autoscaler, demand: f64) {
         let mut running = self.running();
         let mut scaling = self.scaling.clone();
         let mut idle = EndpointCounts::new();
@@ -109,70 +109,70 @@
             scaling.prices.remove(at);
             idle.extend(running.remove_entry(at));
         }
-        let sight = Observation {
+        let observation = Observation {
             scaling: &scaling,
             running: &running,
             idle: &idle,
             demand,
             headroom: 1.3,
         };
-        while let Some(wish) = sizing.next(&sight, self.now) {
+        while let Some(request) = autoscaler.next(&observation, self.now) {
             self.orders.push(self.now);
-            if wish.is_reclaimable && self.now < self.dry_until {
+            if request.is_reclaimable && self.now < self.unavailable_until {
                 self.refused += 1;
-                sizing.refused(&wish, self.now);
+                autoscaler.refused(&request, self.now);
                 continue;
             }
-            let group = (wish.data_centre.clone(), wish.is_reclaimable);
-            self.groups.entry(group).or_default().wanted = wish.count;
-            sizing.accepted(&wish, self.now);
+            let group = (request.data_centre.clone(), request.is_reclaimable);
+            self.groups.entry(group).or_default().ordered = request.count;
+            autoscaler.accepted(&request, self.now);
         }
-        self.carry_out();
-        self.now = self.now + LOOK;
+        self.apply_orders();
+        self.now = self.now + STEP;
     }
 
-    fn carry_out(&mut self) {
+    fn apply_orders(&mut self) {
         let now = self.now;
-        let is_dry = now < self.dry_until;
-        let part = self.scaling.reclaimable_price.unwrap_or(1.0);
+        let is_unavailable = now < self.unavailable_until;
+        let price_ratio = self.scaling.reclaimable_price.unwrap_or(1.0);
         for ((at, is_reclaimable), group) in &mut self.groups {
-            let wanted = usize::try_from(group.wanted).unwrap();
-            group.running.truncate(wanted);
-            let may_start = !(*is_reclaimable && is_dry);
+            let ordered = usize::try_from(group.ordered).unwrap();
+            group.running.truncate(ordered);
+            let may_start = !(*is_reclaimable && is_unavailable);
             if may_start {
-                group.running.resize(wanted, now);
+                group.running.resize(ordered, now);
             }
-            let price = self.scaling.prices[at] * if *is_reclaimable { part } else { 1.0 };
-            self.paid += price * group.running.len() as f64 * LOOK.0 as f64;
+            let price = self.scaling.prices[at] * if *is_reclaimable { price_ratio } else { 1.0 };
+            self.cost += price * group.running.len() as f64 * STEP.0 as f64;
         }
     }
 
-    fn run(&mut self, sizing: &mut Autoscaler, span: Millis, demand: f64) {
+    fn run(&mut self, autoscaler: &mut Autoscaler, span: Millis, demand: f64) {
         let until = self.now + span;
         while self.now < until {
-            self.look(sizing, demand);
+            self.step(autoscaler, demand);
         }
     }
 }
 
-/// The lowest number of endpoints over a span.
-fn lowest(platform: &mut Platform, sizing: &mut Autoscaler, span: Millis, demand: f64) -> u32 {
+/// The lowest number of ready endpoints over a span.
+fn lowest(platform: &mut Platform, autoscaler: &mut Autoscaler, span: Millis, demand: f64) -> u32 {
     let until = platform.now + span;
     let mut lowest = u32::MAX;
     while platform.now < until {
-        platform.look(sizing, demand);
+        platform.step(autoscaler, demand);
         lowest = lowest.min(platform.total());
     }
     lowest
 }
 
-/// What operators began with goes on to be there while cheaper ones take its place.
+/// The initial capacity stays available while cheaper endpoints replace it.
 #[test]
-fn cheaper_endpoints_take_the_place_of_those_found() {
+fn cheaper_endpoints_replace_the_initial_ones() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Autoscaler::default();
-    let lowest = lowest(&mut platform, &mut sizing, Millis(20_000), 10.0);
-    assert!(lowest >= 60, "only {lowest} were there");
+    let mut autoscaler = Autoscaler::default();
+    let lowest = lowest(&mut platform, &mut autoscaler, Millis(20_000), 10.0);
+    assert!(lowest >= 60, "only {lowest} were ready");
     let running = platform.running();
     assert!(running.values().all(|it| it.on_demand == 0), "{running:?}");
     assert!(guaranteed(&running) >= 60, "{running:?}");
@@ -184,22 +184,22 @@
     );
 }
 
-/// The worst that the platform is known to do: a data centre's reclaimable endpoints all go, and
-/// there are none to be had for 11 s.
+/// The worst known platform failure: all reclaimable endpoints of a data centre are reclaimed, and
+/// new ones are unavailable for 11 s.
 #[rstest]
-#[case::reclaimable_ones_cost_little(Some(0.15))]
-#[case::reclaimable_ones_cost_nearly_the_same(Some(0.9))]
-fn a_reclaim_leaves_what_was_assured(#[case] price: Option<f64>) {
+#[case::cheap_reclaimable_endpoints(Some(0.15))]
+#[case::expensive_reclaimable_endpoints(Some(0.9))]
+fn guaranteed_capacity_survives_a_reclaim(#[case] price: Option<f64>) {
     let mut platform = Platform::new(scaling(price), 20);
-    let mut sizing = Autoscaler::default();
-    platform.run(&mut sizing, Millis(25_000), 40.0);
+    let mut autoscaler = Autoscaler::default();
+    platform.run(&mut autoscaler, Millis(25_000), 40.0);
     let before = guaranteed(&platform.running());
     platform.reclaim("a", Millis(11_000));
-    let lowest = lowest(&mut platform, &mut sizing, Millis(11_000), 40.0);
+    let lowest = lowest(&mut platform, &mut autoscaler, Millis(11_000), 40.0);
     assert!(lowest >= before.min(60), "{lowest} of {before}");
     let refused = platform.refused;
-    assert!(refused <= 12, "{refused} orders in vain");
-    platform.run(&mut sizing, Millis(10_000), 40.0);
+    assert!(refused <= 12, "{refused} refused orders");
+    platform.run(&mut autoscaler, Millis(10_000), 40.0);
     assert!(
         guaranteed(&platform.running()) >= 52,
         "{:?}",
@@ -207,68 +207,67 @@
     );
 }
 
-/// Two data centres lose theirs one after the other, so that the demand is no longer covered:
-/// endpoints that stay are ordered in their place, and leave when the cheap ones are back.
+/// Two data centres lose their reclaimable endpoints in turn, so that the demand is no longer
+/// covered: on-demand endpoints replace them, and leave once reclaimable ones are available again.
 #[test]
-fn what_stays_takes_the_place_of_what_cannot_be_had() {
+fn on_demand_endpoints_replace_unavailable_ones() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Autoscaler::default();
-    platform.run(&mut sizing, Millis(25_000), 50.0);
+    let mut autoscaler = Autoscaler::default();
+    platform.run(&mut autoscaler, Millis(25_000), 50.0);
     platform.reclaim("a", Millis(11_000));
-    platform.run(&mut sizing, Millis(2_000), 50.0);
+    platform.run(&mut autoscaler, Millis(2_000), 50.0);
     platform.reclaim("c", Millis(11_000));
-    platform.run(&mut sizing, Millis(10_500), 50.0);
+    platform.run(&mut autoscaler, Millis(10_500), 50.0);
     let total = platform.total();
     assert!(total >= 50, "only {total} run");
-    platform.run(&mut sizing, Millis(25_000), 50.0);
+    platform.run(&mut autoscaler, Millis(25_000), 50.0);
     let running = platform.running();
     assert!(running.values().all(|it| it.on_demand == 0), "{running:?}");
 }
 
-/// A burst of three times the demand is met by the reserve, or by what starts within the time
-/// that an endpoint takes.
+/// When the demand triples, the reserve and new endpoints cover it within the boot time.
 #[test]
-fn a_burst_brings_as_many_as_there_can_be() {
+fn a_burst_is_served_by_reserve_and_new_endpoints() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Autoscaler::default();
-    platform.run(&mut sizing, Millis(25_000), 30.0);
-    platform.run(&mut sizing, Millis(6_000), 90.0);
+    let mut autoscaler = Autoscaler::default();
+    platform.run(&mut autoscaler, Millis(25_000), 30.0);
+    platform.run(&mut autoscaler, Millis(6_000), 90.0);
     assert!(platform.total() >= 117, "only {} run", platform.total());
 }
 
-/// When the demand falls to a tenth, so do the endpoints, by steps.
+/// When the demand falls to a tenth, the number of endpoints follows in a few steps.
 #[test]
-fn few_are_kept_for_little_demand() {
+fn scales_down_after_the_demand_falls() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Autoscaler::default();
-    platform.run(&mut sizing, Millis(30_000), 60.0);
+    let mut autoscaler = Autoscaler::default();
+    platform.run(&mut autoscaler, Millis(30_000), 60.0);
     let orders = platform.orders.len();
-    platform.run(&mut sizing, Millis(60_000), 6.0);
+    platform.run(&mut autoscaler, Millis(60_000), 6.0);
     let total = platform.total();
     assert!(total <= 18, "{total} run");
-    let made = platform.orders.len() - orders;
+    let placed = platform.orders.len() - orders;
     // Three for each kind in each data centre.
-    assert!(made <= 18, "{made} orders in a minute");
+    assert!(placed <= 18, "{placed} orders in a minute");
 }
 
-/// Demand that sways by a quarter brings few orders.
+/// Demand that fluctuates by a quarter causes few orders.
 #[test]
-fn numbers_do_not_flap() {
+fn fluctuating_demand_causes_few_orders() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
-    let mut sizing = Autoscaler::default();
-    platform.run(&mut sizing, Millis(60_000), 40.0);
+    let mut autoscaler = Autoscaler::default();
+    platform.run(&mut autoscaler, Millis(60_000), 40.0);
     let before = platform.orders.len();
     for second in 0..120_u32 {
         let demand = 40.0 + 10.0 * f64::from(second).sin();
-        platform.run(&mut sizing, Millis(1_000), demand);
+        platform.run(&mut autoscaler, Millis(1_000), demand);
     }
-    let made = platform.orders.len() - before;
-    assert!(made <= 18, "{made} orders in two minutes");
+    let placed = platform.orders.len() - before;
+    assert!(placed <= 18, "{placed} orders in two minutes");
 }
 
-/// An entry that takes the duties over goes on with what was assured.
+/// An entry that takes over the autoscaling resumes with the required capacity of the last one.
 #[test]
-fn the_next_holder_goes_on() {
+fn a_new_holder_resumes() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
     let mut first = Autoscaler::default();
     platform.run(&mut first, Millis(30_000), 60.0);
@@ -280,10 +279,10 @@
     assert_eq!(platform.orders.len(), orders);
 }
 
-/// A first holder was gone before it had written down what is assured: the next one goes on with
-/// what it finds, whatever kind it is of.
+/// If the first holder failed before it stored the required capacity, the next one keeps the
+/// running endpoints of both kinds.
 #[test]
-fn a_holder_that_knows_nothing_keeps_what_runs() {
+fn a_new_holder_without_state_keeps_running_endpoints() {
     let mut platform = Platform::new(scaling(Some(0.15)), 20);
     let mut first = Autoscaler::default();
     platform.run(&mut first, Millis(20_000), 30.0);
@@ -291,65 +290,65 @@
     let mut next = Autoscaler::default();
     let lowest = lowest(&mut platform, &mut next, Millis(10_000), 0.0);
     assert_eq!(platform.running(), before);
-    assert!(lowest >= 60, "only {lowest} were there");
+    assert!(lowest >= 60, "only {lowest} were ready");
 }
 
 proptest! {
-    /// Whatever operators allow and ask for prices, what is bought assures what is needed, within
-    /// the limits, as far as there can be so many.
+    /// For any limits and prices, an allocation stays within the limits and guarantees the required
+    /// capacity as far as they allow.
     #[test]
-    fn purchases_assure(
+    fn allocations_guarantee_the_required_capacity(
         needed in 0..200_u32,
         least in 0..4_u32,
         most in 4..60_u32,
         price in prop::option::of(0.05..1.0_f64),
         prices in prop::collection::vec(0.5..2.0_f64, 1..6),
     ) {
-        let places = prices.iter().enumerate();
+        let data_centres = prices.iter().enumerate();
         let scaling = Scaling {
             least,
             most,
             boot: Millis(4_000),
             reclaimable_price: price,
-            prices: places.map(|(at, price)| (DataCentre::from(format!("dc-{at}")), *price)).collect(),
+            prices: data_centres.map(|(at, price)| (DataCentre::from(format!("dc-{at}")), *price)).collect(),
         };
-        let bought = cheapest_allocation(needed, &scaling);
-        for count in bought.values() {
-            prop_assert!((least..=most).contains(&count.all()), "{:?}", bought);
+        let allocation = cheapest_allocation(needed, &scaling);
+        for count in allocation.values() {
+            prop_assert!((least..=most).contains(&count.total()), "{:?}", allocation);
             prop_assert!(price.is_some() || count.reclaimable == 0);
         }
-        let places = u32::try_from(prices.len()).unwrap();
-        let possible = if price.is_some() && places > 1 { places - 1 } else { places } * most;
-        prop_assert!(guaranteed(&bought) >= needed.min(possible), "{:?}", bought);
+        let data_centres = u32::try_from(prices.len()).unwrap();
+        let attainable = if price.is_some() && data_centres > 1 { data_centres - 1 } else { data_centres } * most;
+        prop_assert!(guaranteed(&allocation) >= needed.min(attainable), "{:?}", allocation);
     }
 
-    /// While endpoints of one kind take the place of others, two thirds of what was needed for as
-    /// long as endpoints take to start are there at any time.
+    /// While endpoints of one kind replace those of the other, two thirds of the capacity required
+    /// throughout the last boot time are ready at any time.
     #[test]
-    fn nothing_leaves_too_early(
+    fn two_thirds_stay_available_during_replacement(
         demands in prop::collection::vec(1.0..70.0_f64, 1..12),
         boot in 500..9_000_u64,
     ) {
-        two_thirds_are_there(&demands, Millis(boot))?;
+        keeps_two_thirds(&demands, Millis(boot))?;
     }
 }
 
-/// Plays demands of five seconds each.
-fn two_thirds_are_there(demands: &[f64], boot: Millis) -> Result<(), TestCaseError> {
+/// Runs the simulation with each demand for five seconds.
+fn keeps_two_thirds(demands: &[f64], boot: Millis) -> Result<(), TestCaseError> {
     let mut scaling = scaling(Some(0.15));
     scaling.boot = boot;
     let mut platform = Platform::new(scaling, 20);
-    let mut sizing = Autoscaler::default();
-    // The time that an endpoint takes to start, and some looks.
-    let start = usize::try_from((boot + Millis(2_000)).0 / LOOK.0).unwrap();
-    // What was found.
+    let mut autoscaler = Autoscaler::default();
+    // The boot time and some steps.
+    let start = usize::try_from((boot + Millis(2_000)).0 / STEP.0).unwrap();
+    // The initial capacity.
     let mut needed = vec![60; start];
     for demand in demands {
         for _ in 0..50 {
-            platform.look(&mut sizing, *demand);
-            needed.push(sizing.needed());
-            let of_late = &needed[needed.len() - start..];
-            let least = of_late.iter().min().unwrap() * 2 / 3;
+            platform.step(&mut autoscaler, *demand);
+            needed.push(autoscaler.needed());
+            let recent = &needed[needed.len() - start..];
+            let least = recent.iter().min().unwrap() * 2 / 3;
             let running = platform.total();
             prop_assert!(running >= least, "{running} of {least}");
         }
@@ -357,42 +356,45 @@
     Ok(())
 }
 
-/// The demand rises anew after so long a pause that nothing is kept for it any more.
+/// The demand rises again after a pause so long that no capacity is kept for it.
 #[rstest]
-#[case::to_a_half(30.0)]
-#[case::above_what_was_found(70.0)]
-fn a_rise_after_a_pause(#[case] risen: f64) {
+#[case::to_half(30.0)]
+#[case::above_the_initial_capacity(70.0)]
+fn demand_rises_after_a_long_pause(#[case] risen: f64) {
     let mut demands = vec![1.0; 9];
     demands.extend([risen; 4]);
-    two_thirds_are_there(&demands, Millis(500)).unwrap();
+    keeps_two_thirds(&demands, Millis(500)).unwrap();
 }
 
-/// What runs where nothing may be sent is replaced elsewhere first, then given up, and ordered
-/// again once that is over.
+/// Endpoints of an evacuated data centre are first replaced elsewhere, then released, and ordered
+/// again after the evacuation.
 #[rstest]
-#[case::reclaimable_ones_cost_little(Some(0.15))]
-#[case::only_kept_ones(None)]
-fn an_evacuated_data_centre_is_replaced_and_then_given_up(#[case] price: Option<f64>) {
+#[case::cheap_reclaimable_endpoints(Some(0.15))]
+#[case::on_demand_only(None)]
+fn an_evacuated_data_centre_is_replaced_then_released(#[case] price: Option<f64>) {
     let mut platform = Platform::new(scaling(price), 20);
-    let mut sizing = Autoscaler::default();
-    platform.run(&mut sizing, Millis(40_000), 40.0);
-    let place = DataCentre::from("a");
-    let here = |platform: &Platform| platform.running()[&place].all();
+    let mut autoscaler = Autoscaler::default();
+    platform.run(&mut autoscaler, Millis(40_000), 40.0);
+    let data_centre = DataCentre::from("a");
+    let here = |platform: &Platform| platform.running()[&data_centre].total();
     let elsewhere = |platform: &Platform| platform.total() - here(platform);
     assert!(here(&platform) > 0);
-    platform.evacuated.push(place.clone());
-    // The time that an endpoint takes to start, and some looks.
-    platform.run(&mut sizing, Millis(6_000), 40.0);
+    platform.evacuated.push(data_centre.clone());
+    // The boot time and some steps.
+    platform.run(&mut autoscaler, Millis(6_000), 40.0);
     assert!(elsewhere(&platform) >= 40, "{:?}", platform.running());
     let until = platform.now + Millis(20_000);
     while platform.now < until {
-        platform.look(&mut sizing, 40.0);
+        platform.step(&mut autoscaler, 40.0);
         let running = platform.running();
         assert!(elsewhere(&platform) >= 40, "{running:?}");
     }
     assert_eq!(here(&platform), 0);
     platform.evacuated.clear();
-    platform.run(&mut sizing, Millis(30_000), 40.0);
-    assert!(here(&platform) > 0, "it is the cheapest");
+    platform.run(&mut autoscaler, Millis(30_000), 40.0);
+    assert!(
+        here(&platform) > 0,
+        "the cheapest data centre is used again"
+    );
     assert!(guaranteed(&platform.running()) >= 40);
 }
--- a/crates/core/tests/relay/outage.rs
+++ b/crates/core/tests/relay/outage.rs
@@ -1,5 +1,5 @@
-//! A fleet whose platform is away for a while, in simulated time: how often it is asked,
-//! and how old the entries' plans become.
+//! Simulates a fleet during a platform outage: how often the platform is polled, and how old the
+//! entries' plans become.
 
 use std::collections::BTreeMap;
 
@@ -13,41 +13,41 @@
     self, CHECK_INTERVAL, Confirmation, EntryStatus, PollDecision, Subject,
 };
 
-/// The time between two rounds of messages.
+/// The time between two gossip rounds.
 const ROUND: Millis = Millis(300);
-/// A step of the simulation; a message and a call take one each way.
+/// A step of the simulation, and the one-way latency of messages and calls.
 const STEP: Millis = Millis(10);
-/// How long an answer is waited for beyond the time for which it may be held.
+/// The timeout of a call, in addition to the time for which the platform may hold it.
 const TIMEOUT: Millis = Millis(1_000);
-/// The platform is away from here to there.
-const AWAY: std::ops::Range<u64> = 4_000..12_000;
+/// When the platform is unavailable, in ms.
+const OUTAGE: std::ops::Range<u64> = 4_000..12_000;
 /// The end of the simulation.
 const END: u64 = 16_000;
-/// When nobody may serve requests with keys by an older plan, at the users' bounds.
-const TRUST: Millis = Millis(3_500);
+/// The age from which a plan no longer authorises requests with keys, at the users' limits.
+const MAX_PLAN_AGE: Millis = Millis(3_500);
 
-/// What a call meets while the platform is away.
+/// How calls fail during the outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Away {
-    /// It is turned away at once.
-    Busy,
-    /// It is never answered.
-    Silent,
+enum Failure {
+    /// The platform rejects the call at once.
+    Rejected,
+    /// The platform never responds.
+    Timeout,
 }
 
-/// A question or an answer of an entry.
+/// A gossip query or an answer.
 struct Message {
     from: usize,
     to: usize,
-    /// When the question was asked; none in a question.
+    /// In an answer, when the query was sent.
     answers: Option<Millis>,
-    /// How old the sender's plan is.
+    /// The age of the sender's plan.
     age: Millis,
 }
 
 struct Call {
-    is_by_lot: bool,
-    ends: Millis,
+    is_drawn: bool,
+    ends_at: Millis,
     is_answered: bool,
 }
 
@@ -55,31 +55,31 @@
     fleet: Fleet,
     as_of: Millis,
     is_platform_lost: bool,
-    acts_until: Millis,
+    substitute_until: Millis,
     call: Option<Call>,
-    resumes: Millis,
+    retry_at: Millis,
     failures: u32,
 }
 
-struct World {
+struct Simulation {
     entries: Vec<Entry>,
     random: ChaCha8Rng,
-    away: Away,
-    /// Whether the platform turns an entry away while it is away.
-    is_shut_out: fn(usize) -> bool,
-    /// An entry that no other one hears while the platform is away.
-    cut_off: Option<usize>,
+    failure: Failure,
+    /// Whether an entry is affected by the outage.
+    is_affected: fn(usize) -> bool,
+    /// An entry that is cut off from all others during the outage.
+    isolated: Option<usize>,
     messages: BTreeMap<Millis, Vec<Message>>,
     calls: usize,
-    calls_while_away: usize,
-    /// The greatest age of any plan while the platform was away.
-    oldest: Millis,
-    /// When the last plan was confirmed that had been stale.
-    all_fresh_at: Millis,
+    calls_in_outage: usize,
+    /// The maximum age of any plan during the outage.
+    max_age: Millis,
+    /// When the last stale plan was confirmed.
+    all_confirmed_at: Millis,
 }
 
-impl World {
-    fn new(count: usize, away: Away, is_shut_out: fn(usize) -> bool, seed: u64) -> Self {
+impl Simulation {
+    fn new(count: usize, failure: Failure, is_affected: fn(usize) -> bool, seed: u64) -> Self {
         let members: Vec<_> = (0..count).map(member).collect();
         let entry = |at: usize| {
             let mut fleet = Fleet::new(
@@ -94,27 +94,27 @@
                 fleet,
                 as_of: Millis::ZERO,
                 is_platform_lost: false,
-                acts_until: Millis::ZERO,
+                substitute_until: Millis::ZERO,
                 call: None,
-                resumes: Millis::ZERO,
+                retry_at: Millis::ZERO,
                 failures: 0,
             }
         };
         Self {
             entries: (0..count).map(entry).collect(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            away,
-            is_shut_out,
-            cut_off: None,
+            failure,
+            is_affected,
+            isolated: None,
             messages: BTreeMap::new(),
             calls: 0,
-            calls_while_away: 0,
-            oldest: Millis::ZERO,
-            all_fresh_at: Millis::ZERO,
+            calls_in_outage: 0,
+            max_age: Millis::ZERO,
+            all_confirmed_at: Millis::ZERO,
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         let mut now = Millis::ZERO;
         while now.0 < END {
             for message in self.messages.remove(&now).unwrap_or_default() {
@@ -127,89 +127,91 @@
                 }
                 self.end_call(at, now);
                 if (now.0 + phase).is_multiple_of(CHECK_INTERVAL.0) {
-                    self.look(at, now);
+                    self.poll(at, now);
                 }
             }
-            self.watch(now);
+            self.observe(now);
             now = now + STEP;
         }
     }
 
-    fn watch(&mut self, now: Millis) {
+    fn observe(&mut self, now: Millis) {
         let ages = self.entries.iter().map(|entry| now - entry.as_of);
-        let oldest = ages.max().unwrap_or_default();
-        if AWAY.contains(&now.0) {
-            self.oldest = self.oldest.max(oldest);
+        let max_age = ages.max().unwrap_or_default();
+        if OUTAGE.contains(&now.0) {
+            self.max_age = self.max_age.max(max_age);
         }
-        if polling::is_stale(oldest, self.entries[0].fleet.spread()) {
-            self.all_fresh_at = now + STEP;
+        if polling::is_stale(max_age, self.entries[0].fleet.spread()) {
+            self.all_confirmed_at = now + STEP;
         }
     }
 
     fn reaches(&self, at: usize, now: Millis) -> bool {
-        !(AWAY.contains(&now.0) && (self.is_shut_out)(at))
+        !(OUTAGE.contains(&now.0) && (self.is_affected)(at))
     }
 
-    fn look(&mut self, at: usize, now: Millis) {
-        let lot = self.random.random();
+    fn poll(&mut self, at: usize, now: Millis) {
+        let draw = self.random.random();
         let entry = &mut self.entries[at];
-        if entry.call.is_some() || entry.resumes > now {
+        if entry.call.is_some() || entry.retry_at > now {
             return;
         }
-        let standing = EntryStatus {
+        let status = EntryStatus {
             rank: entry.fleet.rank(!entry.is_platform_lost, now),
             is_seed: false,
             is_first_start: false,
-            is_substitute: now < entry.acts_until,
+            is_substitute: now < entry.substitute_until,
             uptime: Millis(60_000),
             peers: entry.fleet.peers(now),
             propagation_delay: entry.fleet.spread(),
         };
-        let knows = Confirmation::Age(now - entry.as_of);
-        let PollDecision::Poll(held) = polling::decide(Subject::Plan, &standing, knows, lot) else {
+        let confirmation = Confirmation::Age(now - entry.as_of);
+        let PollDecision::Poll(wait) = polling::decide(Subject::Plan, &status, confirmation, draw)
+        else {
             return;
         };
         self.calls += 1;
-        self.calls_while_away += usize::from(AWAY.contains(&now.0));
-        let back = now + held + STEP;
-        let is_answered = self.reaches(at, now) && self.reaches(at, back);
-        let ends = match self.away {
-            _ if is_answered => back,
-            Away::Busy => now + STEP,
-            Away::Silent => now + held + TIMEOUT,
+        self.calls_in_outage += usize::from(OUTAGE.contains(&now.0));
+        let responds_at = now + wait + STEP;
+        let is_answered = self.reaches(at, now) && self.reaches(at, responds_at);
+        let ends_at = match self.failure {
+            _ if is_answered => responds_at,
+            Failure::Rejected => now + STEP,
+            Failure::Timeout => now + wait + TIMEOUT,
         };
         self.entries[at].call = Some(Call {
-            is_by_lot: held == Millis::ZERO,
-            ends,
+            is_drawn: wait == Millis::ZERO,
+            ends_at,
             is_answered,
         });
     }
 
     fn end_call(&mut self, at: usize, now: Millis) {
-        let lot = self.random.random();
+        let draw = self.random.random();
         let entry = &mut self.entries[at];
-        let Some(call) = entry.call.take_if(|call| call.ends <= now) else {
+        let Some(call) = entry.call.take_if(|call| call.ends_at <= now) else {
             return;
         };
         entry.is_platform_lost = !call.is_answered;
         if call.is_answered {
             entry.failures = 0;
-            if call.is_by_lot {
-                entry.acts_until = now + polling::substitute_term(entry.fleet.patience_nearby());
+            if call.is_drawn {
+                entry.substitute_until =
+                    now + polling::substitute_term(entry.fleet.patience_nearby());
             }
             self.confirm(at, now - STEP, now);
         } else {
             entry.failures += 1;
-            entry.resumes = now + polling::backoff(entry.failures, lot);
+            entry.retry_at = now + polling::backoff(entry.failures, draw);
         }
     }
 
     fn confirm(&mut self, at: usize, as_of: Millis, now: Millis) {
         let entry = &mut self.entries[at];
-        let spread = entry.fleet.spread();
-        let was_stale = polling::is_stale(now - entry.as_of, spread);
+        let propagation_delay = entry.fleet.spread();
+        let was_stale = polling::is_stale(now - entry.as_of, propagation_delay);
         entry.as_of = entry.as_of.max(as_of);
-        if was_stale && !polling::is_stale(now - entry.as_of, spread) {
+        if was_stale && !polling::is_stale(now - entry.as_of, propagation_delay) {
             self.round(at, now);
         }
     }
@@ -222,8 +224,8 @@
     }
 
     fn send(&mut self, from: usize, to: usize, answers: Option<Millis>, now: Millis) {
-        let is_cut = self.cut_off == Some(from) || self.cut_off == Some(to);
-        if is_cut && AWAY.contains(&now.0) {
+        let is_isolated = self.isolated == Some(from) || self.isolated == Some(to);
+        if is_isolated && OUTAGE.contains(&now.0) {
             return;
         }
         let message = Message {
@@ -244,20 +246,20 @@
         let entry = &mut self.entries[message.to];
         entry.fleet.heard(sender, now);
         let own_age = now - entry.as_of;
-        let spread = entry.fleet.spread();
-        if let Some(asked) = message.answers {
-            self.confirm(message.to, asked - message.age, now);
+        let propagation_delay = entry.fleet.spread();
+        if let Some(queried_at) = message.answers {
+            self.confirm(message.to, queried_at - message.age, now);
             return;
         }
-        // The answer's age counts from the moment of the question.
+        // The age in an answer is relative to the time of the query.
         self.send(message.to, message.from, Some(now - STEP), now);
-        if polling::should_query_back(own_age, message.age, spread) {
+        if polling::should_query_back(own_age, message.age, propagation_delay) {
             self.send(message.to, message.from, None, now);
         }
     }
 }
 
-/// An entry by its number, which is the port of its address too; in five data centres.
+/// The entry with this number, which is also the port of its address, in one of five data centres.
 pub fn member(at: usize) -> Member {
     let port = u16::try_from(at).expect("a small fleet");
     Member {
@@ -272,56 +274,68 @@
     }
 }
 
-/// The calls of a fleet whose platform is away for eight seconds do not grow with it, and
-/// once it is back, all plans are confirmed at once.
+/// During an outage of eight seconds the number of calls does not grow with the fleet, and all
+/// plans are confirmed soon after it.
 #[rstest]
-// Of six, each may be waiting for an answer that does not come, and pause after that.
+// With six entries, each may be waiting for a response that never comes, and then back off.
 #[case::few(6, Millis(2_000))]
 #[case::tens(80, Millis(400))]
 #[case::hundreds(295, Millis(400))]
-fn a_platform_that_is_away_is_asked_by_few(
+fn few_entries_poll_during_an_outage(
     #[case] entries: usize,
-    #[case] soon: Millis,
-    #[values(Away::Busy, Away::Silent)] away: Away,
+    #[case] limit: Millis,
+    #[values(Failure::Rejected, Failure::Timeout)] failure: Failure,
 ) {
-    let mut world = World::new(entries, away, |_| true, 1);
-    world.play();
-    let confirmed = world.all_fresh_at - Millis(AWAY.end);
+    let mut simulation = Simulation::new(entries, failure, |_| true, 1);
+    simulation.run();
+    let confirmed = simulation.all_confirmed_at - Millis(OUTAGE.end);
     println!(
-        "calls: {}, of these while away: {}, all confirmed after {confirmed}",
-        world.calls, world.calls_while_away
+        "calls: {}, of these in the outage: {}, all confirmed after {confirmed}",
+        simulation.calls, simulation.calls_in_outage
     );
-    assert!(world.calls_while_away <= 120, "{}", world.calls_while_away);
-    assert!(confirmed <= soon, "{confirmed}");
+    assert!(
+        simulation.calls_in_outage <= 120,
+        "{}",
+        simulation.calls_in_outage
+    );
+    assert!(confirmed <= limit, "{confirmed}");
 }
 
-/// Entries that the platform turns away, the readers among them, learn from the others in
-/// time for requests with keys.
+/// Entries affected by the outage, including the pollers, learn from the others before their plan
+/// is too old to authorise requests with keys.
 #[rstest]
-#[case::a_third(|at| at % 3 == 0)]
-#[case::the_first_of_all(|at| at < 60)]
+#[case::every_third(|at| at % 3 == 0)]
+#[case::the_first_sixty(|at| at < 60)]
 #[case::nine_of_ten(|at| at % 10 != 9)]
-fn entries_that_are_turned_away_learn_from_others(
-    #[case] is_shut_out: fn(usize) -> bool,
+fn affected_entries_learn_from_others(
+    #[case] is_affected: fn(usize) -> bool,
     #[values(6, 295)] entries: usize,
-    #[values(Away::Busy, Away::Silent)] away: Away,
+    #[values(Failure::Rejected, Failure::Timeout)] failure: Failure,
 ) {
-    let mut world = World::new(entries, away, is_shut_out, 1);
-    world.play();
+    let mut simulation = Simulation::new(entries, failure, is_affected, 1);
+    simulation.run();
     println!(
-        "calls: {}, of these while away: {}, oldest plan: {}",
-        world.calls, world.calls_while_away, world.oldest
+        "calls: {}, of these in the outage: {}, oldest plan: {}",
+        simulation.calls, simulation.calls_in_outage, simulation.max_age
+    );
+    let all_are_affected = (0..entries).all(is_affected);
+    assert!(
+        all_are_affected || simulation.max_age < MAX_PLAN_AGE,
+        "{}",
+        simulation.max_age
+    );
+    assert!(
+        simulation.calls_in_outage <= 150,
+        "{}",
+        simulation.calls_in_outage
     );
-    let nobody_is_served = (0..entries).all(is_shut_out);
-    assert!(nobody_is_served || world.oldest < TRUST, "{}", world.oldest);
-    assert!(world.calls_while_away <= 150, "{}", world.calls_while_away);
 }
 
-/// An entry that hears no other one does not wait for its lot.
+/// An entry that is cut off from all others polls without a random draw.
 #[test]
-fn an_entry_that_is_cut_off_from_the_others_asks_for_itself() {
-    let mut world = World::new(295, Away::Busy, |_| false, 1);
-    world.cut_off = Some(200);
-    world.play();
-    assert!(world.oldest < TRUST, "{}", world.oldest);
+fn an_isolated_entry_polls() {
+    let mut simulation = Simulation::new(295, Failure::Rejected, |_| false, 1);
+    simulation.isolated = Some(200);
+    simulation.run();
+    assert!(simulation.max_age < MAX_PLAN_AGE, "{}", simulation.max_age);
 }
--- a/crates/core/tests/relay/plan.rs
+++ b/crates/core/tests/relay/plan.rs
@@ -1,4 +1,4 @@
-//! Plans that may, and may not, be in force; and plans for the other tests.
+//! Validation of plans, and plans for the other tests.
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
@@ -64,7 +64,7 @@
     vec![route("a", "/a/"), route("b", "/a/")],
     Error::DuplicateRoute("a".to_owned(), "b".to_owned())
 )]
-#[case::no_share(
+#[case::no_weighted_service(
     vec![Route { shares: vec![share("engines", 0)], ..route("a", "/a/") }],
     Error::NoWeightedService("a".to_owned())
 )]
@@ -72,12 +72,12 @@
     vec![Route { shares: vec![share("x", 1)], ..route("a", "/a/") }],
     Error::UnknownService("a".to_owned(), "x".to_owned())
 )]
-fn an_unsound_plan_is_refused(#[case] routes: Vec<Route>, #[case] error: Error) {
+fn an_invalid_plan_is_rejected(#[case] routes: Vec<Route>, #[case] error: Error) {
     assert_eq!(Table::new(plan(1, routes)).unwrap_err(), error);
 }
 
 #[test]
-fn a_key_stands_for_one_workspace() {
+fn a_key_identifies_one_workspace() {
     let mut plan = plan(1, vec![]);
     plan.workspaces = vec![workspace("a", "same", 0), workspace("b", "same", 0)];
     let error = Error::DuplicateKey("a".to_owned(), "b".to_owned());
@@ -87,10 +87,14 @@
 #[rstest]
 #[case::idempotent(Kind::Idempotent, false, true)]
 #[case::not_idempotent(Kind::NonIdempotent, false, false)]
-#[case::not_idempotent_whatever_else(Kind::NonIdempotent, true, false)]
+#[case::not_idempotent_but_resumable(Kind::NonIdempotent, true, false)]
 #[case::stream(Kind::Stream, false, false)]
 #[case::resumable_stream(Kind::Stream, true, true)]
-fn what_may_run_again(#[case] kind: Kind, #[case] resumable: bool, #[case] repeatable: bool) {
+fn which_requests_are_repeatable(
+    #[case] kind: Kind,
+    #[case] resumable: bool,
+    #[case] repeatable: bool,
+) {
     let route = Route {
         kind,
         resumable,
--- a/crates/core/tests/relay/usage.rs
+++ b/crates/core/tests/relay/usage.rs
@@ -1,5 +1,5 @@
-//! What is reported of a window is what endpoints began to run in it, whatever becomes of the
-//! messages.
+//! The usage of a window matches the requests that endpoints began to run in it, even if messages
+//! are lost, duplicated or delayed.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -11,24 +11,24 @@
 
 const LENGTH: Millis = Millis(5_000);
 
-/// What befalls a message, or its sender.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The entry counts a request of a workspace in a window.
+    /// An entry counts a request of a workspace in a window.
     Count {
         entry: usize,
         workspace: usize,
         window: u64,
     },
-    /// The entry tells all, and the message arrives.
-    Tell(usize),
-    /// It tells, and the message comes later, after others.
-    TellLate(usize),
-    /// It tells, and the message comes twice.
-    TellTwice(usize),
-    /// It tells, and nothing comes.
-    TellInVain(usize),
-    /// It is killed, and starts anew.
+    /// An entry broadcasts its counts, and the message arrives.
+    Broadcast(usize),
+    /// The message arrives later, after others.
+    BroadcastDelayed(usize),
+    /// The message arrives twice.
+    BroadcastTwice(usize),
+    /// The message is lost.
+    BroadcastLost(usize),
+    /// An entry is killed and restarted.
     Kill(usize),
 }
 
@@ -40,63 +40,63 @@
         8 => (entry.clone(), 0..3_usize, 1..4_u64).prop_map(|(entry, workspace, window)| {
             Event::Count { entry, workspace, window }
         }),
-        2 => entry.clone().prop_map(Event::Tell),
-        1 => entry.clone().prop_map(Event::TellLate),
-        1 => entry.clone().prop_map(Event::TellTwice),
-        1 => entry.clone().prop_map(Event::TellInVain),
+        2 => entry.clone().prop_map(Event::Broadcast),
+        1 => entry.clone().prop_map(Event::BroadcastDelayed),
+        1 => entry.clone().prop_map(Event::BroadcastTwice),
+        1 => entry.clone().prop_map(Event::BroadcastLost),
         1 => entry.prop_map(Event::Kill),
     ]
 }
 
-struct Teller {
+struct Source {
     name: Entry,
-    life: u64,
+    incarnation: u64,
     meter: Meter,
-    /// What it counted and may not have told.
-    untold: Vec<(Window, Workspace)>,
+    /// Requests that it counted and that no received message contains yet.
+    unsent: Vec<(Window, Workspace)>,
 }
 
 #[derive(Default)]
-struct World {
-    tellers: Vec<Teller>,
-    sums: UsageTotals,
-    truth: Vec<(Window, Workspace)>,
-    late: Vec<(usize, u64, Vec<WindowCounts>)>,
+struct Simulation {
+    sources: Vec<Source>,
+    totals: UsageTotals,
+    expected: Vec<(Window, Workspace)>,
+    delayed: Vec<(usize, u64, Vec<WindowCounts>)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let teller = |at: usize| Teller {
+        let source = |at: usize| Source {
             name: Entry::from(format!("dub-a-{at}")),
-            life: 1,
+            incarnation: 1,
             meter: Meter::default(),
-            untold: Vec::new(),
+            unsent: Vec::new(),
         };
         Self {
-            tellers: (0..ENTRIES).map(teller).collect(),
+            sources: (0..ENTRIES).map(source).collect(),
             ..Self::default()
         }
     }
 
-    fn arrive(&mut self, entry: usize, life: u64, told: &[WindowCounts]) {
-        let from = (self.tellers[entry].name.clone(), Incarnation(life));
-        for told in told {
+    fn receive(&mut self, entry: usize, incarnation: u64, reports: &[WindowCounts]) {
+        let from = (self.sources[entry].name.clone(), Incarnation(incarnation));
+        for report in reports {
             let unix = Window(3).end(LENGTH);
-            self.sums.record(&from, told.clone(), unix, LENGTH);
+            self.totals.record(&from, report.clone(), unix, LENGTH);
         }
     }
 
-    fn tell(&mut self, entry: usize, times: usize) {
-        let teller = &mut self.tellers[entry];
-        let told: Vec<_> = teller.meter.snapshot().collect();
-        let life = teller.life;
+    fn broadcast(&mut self, entry: usize, times: usize) {
+        let source = &mut self.sources[entry];
+        let reports: Vec<_> = source.meter.snapshot().collect();
+        let incarnation = source.incarnation;
         if times > 0 {
-            teller.untold.clear();
+            source.unsent.clear();
         }
-        (0..times).for_each(|_| self.arrive(entry, life, &told));
+        (0..times).for_each(|_| self.receive(entry, incarnation, &reports));
     }
 
-    fn take(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Count {
                 entry,
@@ -104,66 +104,66 @@
                 window,
             } => {
                 let workspace = Workspace::from(format!("w-{workspace}"));
-                let teller = &mut self.tellers[entry];
-                teller.meter.count(Window(window), &workspace);
-                teller.untold.push((Window(window), workspace.clone()));
-                self.truth.push((Window(window), workspace));
+                let source = &mut self.sources[entry];
+                source.meter.count(Window(window), &workspace);
+                source.unsent.push((Window(window), workspace.clone()));
+                self.expected.push((Window(window), workspace));
             }
-            Event::Tell(entry) => self.tell(entry, 1),
-            Event::TellTwice(entry) => self.tell(entry, 2),
-            Event::TellInVain(entry) => self.tell(entry, 0),
-            Event::TellLate(entry) => {
-                let teller = &self.tellers[entry];
-                let told = teller.meter.snapshot().collect();
-                self.late.push((entry, teller.life, told));
+            Event::Broadcast(entry) => self.broadcast(entry, 1),
+            Event::BroadcastTwice(entry) => self.broadcast(entry, 2),
+            Event::BroadcastLost(entry) => self.broadcast(entry, 0),
+            Event::BroadcastDelayed(entry) => {
+                let source = &self.sources[entry];
+                let reports = source.meter.snapshot().collect();
+                self.delayed.push((entry, source.incarnation, reports));
             }
             Event::Kill(entry) => {
-                let teller = &mut self.tellers[entry];
-                for lost in teller.untold.drain(..) {
-                    let at = self.truth.iter().position(|it| *it == lost).unwrap();
-                    self.truth.swap_remove(at);
+                let source = &mut self.sources[entry];
+                for lost in source.unsent.drain(..) {
+                    let at = self.expected.iter().position(|it| *it == lost).unwrap();
+                    self.expected.swap_remove(at);
                 }
-                teller.meter = Meter::default();
-                teller.life += 1;
+                source.meter = Meter::default();
+                source.incarnation += 1;
             }
         }
     }
 }
 
 proptest! {
-    /// Each request counts once, but for those that an entry had not told when it was killed.
+    /// Each request counts once, except those that a killed entry had not broadcast.
     #[test]
-    fn sums_are_what_was_counted(events in prop::collection::vec(event(), 0..120)) {
-        let mut world = World::new();
+    fn totals_match_the_counted_requests(events in prop::collection::vec(event(), 0..120)) {
+        let mut simulation = Simulation::new();
         for event in events {
-            world.take(event);
+            simulation.apply(event);
         }
-        (0..ENTRIES).for_each(|entry| world.tell(entry, 1));
-        // Whatever is still under way tells less than what came after it, or something that a
-        // killed entry had told nobody.
-        let mut rescued = UsageTotals::default();
-        for (entry, life, told) in std::mem::take(&mut world.late) {
-            let is_living = world.tellers[entry].life == life;
-            if is_living {
-                world.arrive(entry, life, &told);
+        (0..ENTRIES).for_each(|entry| simulation.broadcast(entry, 1));
+        // A delayed message contains no more than later ones of its sender, or counts that a
+        // killed entry had not broadcast otherwise.
+        let mut with_delayed = UsageTotals::default();
+        for (entry, incarnation, reports) in std::mem::take(&mut simulation.delayed) {
+            let is_running = simulation.sources[entry].incarnation == incarnation;
+            if is_running {
+                simulation.receive(entry, incarnation, &reports);
             }
-            let from = (world.tellers[entry].name.clone(), Incarnation(life));
-            for told in told {
-                rescued.record(&from, told, Window(3).end(LENGTH), LENGTH);
+            let from = (simulation.sources[entry].name.clone(), Incarnation(incarnation));
+            for report in reports {
+                with_delayed.record(&from, report, Window(3).end(LENGTH), LENGTH);
             }
         }
         for window in (1..4).map(Window) {
-            let mut truth = Counts::new();
-            for (_, workspace) in world.truth.iter().filter(|(at, _)| *at == window) {
-                *truth.entry(workspace.clone()).or_default() += 1;
+            let mut expected = Counts::new();
+            for (_, workspace) in simulation.expected.iter().filter(|(at, _)| *at == window) {
+                *expected.entry(workspace.clone()).or_default() += 1;
             }
-            prop_assert_eq!(world.sums.total(window), truth);
+            prop_assert_eq!(simulation.totals.total(window), expected);
         }
     }
 
-    /// Whatever the clock does, windows are settled one after the other, each after its end.
+    /// For any clock steps, windows are settled in order, each after its end.
     #[test]
-    fn each_window_is_due_once(steps in prop::collection::vec(0..9_000_u64, 1..60)) {
+    fn windows_are_settled_in_order_and_once(steps in prop::collection::vec(0..9_000_u64, 1..60)) {
         let mut unix = Millis(1_000_000);
         let first = Window::at(unix, LENGTH);
         let mut settled = None;
@@ -178,36 +178,36 @@
     }
 }
 
-/// A process that goes on counting without anybody who takes its counts keeps some windows only.
+/// A process whose windows are never settled keeps a bounded number of them.
 #[test]
-fn counts_take_bounded_memory() {
+fn unsettled_windows_are_bounded() {
     let mut meter = Meter::default();
-    let mut sums = UsageTotals::default();
+    let mut totals = UsageTotals::default();
     let workspace = Workspace::from("w");
     let from = (Entry::from("dub-a-1"), Incarnation(1));
     for window in 0..10_000 {
         meter.count(Window(window), &workspace);
-        for told in meter.snapshot() {
-            sums.record(&from, told, Window(window).end(LENGTH), LENGTH);
+        for report in meter.snapshot() {
+            totals.record(&from, report, Window(window).end(LENGTH), LENGTH);
         }
     }
     assert_eq!(meter.snapshot().count(), 16);
-    assert_eq!(sums.total(Window(9_999))[&workspace], 1);
-    assert_eq!(sums.source_count(Window(9_000)), 0);
+    assert_eq!(totals.total(Window(9_999))[&workspace], 1);
+    assert_eq!(totals.source_count(Window(9_000)), 0);
 }
 
 #[rstest]
 #[case::settled(Window(4), 0)]
 #[case::open(Window(5), 1)]
-#[case::far_ahead(Window(500), 0)]
-fn only_open_windows_are_counted(#[case] window: Window, #[case] tellers: usize) {
-    let mut sums = UsageTotals::default();
-    sums.settle_through(Window(4));
-    let told = WindowCounts {
+#[case::far_in_the_future(Window(500), 0)]
+fn only_open_windows_are_recorded(#[case] window: Window, #[case] sources: usize) {
+    let mut totals = UsageTotals::default();
+    totals.settle_through(Window(4));
+    let report = WindowCounts {
         window,
         counts: vec![("w".into(), 3)],
     };
     let from = (Entry::from("dub-a-1"), Incarnation(1));
-    sums.record(&from, told, Window(5).end(LENGTH), LENGTH);
-    assert_eq!(sums.source_count(window), tellers);
+    totals.record(&from, report, Window(5).end(LENGTH), LENGTH);
+    assert_eq!(totals.source_count(window), sources);
 }
