--- a/crates/core/benches/fleet.rs
+++ b/crates/core/benches/fleet.rs
@@ -9,11 +9,11 @@
 
 use woodgap_core::clock::Millis;
 use woodgap_core::name::{self, DataCentre};
-use woodgap_core::relay::engine::Loads;
+use woodgap_core::relay::engine::LoadBalancer;
 use woodgap_core::relay::plan::Engine;
 use woodgap_core::relay::roster::Endpoint;
 use woodgap_core::relay::work::{Part, Work};
-use woodgap_core::relay::{Ask, Evacuation, Roster};
+use woodgap_core::relay::{Evacuation, RequestProfile, Roster};
 
 const SIZES: [usize; 4] = [1_000, 3_000, 10_000, 20_000];
 const DATA_CENTRES: usize = 5;
@@ -88,7 +88,7 @@
     let began = Instant::now();
     roster.replace(decoded(bytes), 2, Millis(0), Millis(0));
     let again = millis(began.elapsed());
-    let mut loads = Loads::new(DataCentre::from("centre-0"), 1);
+    let mut loads = LoadBalancer::new(DataCentre::from("centre-0"), 1);
     let began = Instant::now();
     for at in 0..CHOICES {
         choose(&roster, &mut loads, at);
@@ -101,7 +101,7 @@
     );
 }
 
-fn choose(roster: &Roster, loads: &mut Loads, at: u32) {
+fn choose(roster: &Roster, loads: &mut LoadBalancer, at: u32) {
     let work = Work {
         prompt_tokens: 9_000,
         output_limit: 80,
@@ -111,7 +111,7 @@
         }],
         ..Work::default()
     };
-    let ask = Ask {
+    let ask = RequestProfile {
         work: Some(&work),
         engine: Some(Engine {
             slots: 32,
@@ -122,7 +122,7 @@
         gap: Some(Millis(400)),
     };
     let usable = roster.usable("language-models", &Evacuation::default(), Millis(5));
-    let in_use = loads.in_use(usable, &ask, 1, Millis(5));
+    let in_use = loads.active_subset(usable, &ask, 1, Millis(5));
     let choice = loads.choose(&in_use, &ask, Millis(5));
     let choice = choice.expect("one is open");
     let ticket = loads.begin(&choice, &ask, Millis(5));
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -4,23 +4,23 @@
 //! is the plan made ready for look-ups. The rest decides on one request: which
 //! endpoint it goes to, whether it may be sent again, and what a caller is told.
 
+pub mod active_plan;
 pub mod admission;
-pub mod ask;
 pub mod budget;
 pub mod claim;
 pub mod dating;
-pub mod division;
 pub mod duty;
 pub mod engine;
+pub mod engine_speed;
 pub mod evacuation;
 pub mod fading;
 pub mod fleet;
-pub mod force;
 pub mod health;
 pub mod lateness;
-pub mod pace;
+pub mod partition;
 pub mod plan;
 pub mod prefix;
+pub mod profile;
 pub mod rest;
 pub mod roster;
 pub mod shutdown;
@@ -32,11 +32,11 @@
 pub mod warming;
 pub mod work;
 
-pub use ask::Ask;
-pub use budget::Budget;
+pub use active_plan::ActivePlan;
+pub use budget::RetryBudget;
 pub use evacuation::Evacuation;
-pub use force::Force;
 pub use plan::Plan;
+pub use profile::RequestProfile;
 pub use roster::Roster;
 pub use table::Table;
 pub use work::Work;
--- a/crates/core/src/relay/force.rs
+++ b/crates/core/src/relay/active_plan.rs
@@ -10,7 +10,7 @@
 /// It moves forward only. `as_of` is the latest moment of which it is known that
 /// no newer plan had been accepted before it, on this process's own clock.
 #[derive(Debug, Default)]
-pub struct Force {
+pub struct ActivePlan {
     table: Option<Arc<Table>>,
     as_of: Millis,
 }
@@ -26,7 +26,7 @@
     Outdated,
 }
 
-impl Force {
+impl ActivePlan {
     /// The plan in force; none before the first was learnt.
     pub fn table(&self) -> Option<&Arc<Table>> {
         self.table.as_ref()
--- a/crates/core/src/relay/admission.rs
+++ b/crates/core/src/relay/admission.rs
@@ -16,34 +16,34 @@
 
 /// When callers should come back at the earliest after a refusal, in ms: the time in
 /// which an engine ends some of its requests.
-pub const SOONEST: Millis = Millis(50);
+pub const MIN_RETRY_AFTER: Millis = Millis(50);
 
 /// How long a first event may be expected to take, in hundredths of its target. Of the
 /// streams for which more than the target is forecast, half still begin in time, and a
 /// late one has some worth. Worth of four days with trouble, mean of twelve plays: 0.662
 /// with 150, 0.649 with 100.
-const PATIENCE_PERCENT: u64 = 150;
+const MAX_WAIT_PERCENT: u64 = 150;
 
 /// The part of the target that a request's own prompt may take before it counts: long
 /// prompts would be turned away wherever anything waits, and short ones taken.
-const OWN_PART: f64 = 0.3;
+const OWN_PROMPT_SHARE: f64 = 0.3;
 
 /// What a request's caller waits for, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct LatencyRequirement {
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
     /// The time within which an answer, or a stream's first event, is on time.
     pub target: Millis,
     /// The time that is left to the end of the answer.
-    pub left: Millis,
+    pub remaining: Millis,
 }
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It is sent.
-    Take,
+    Admit,
     /// It is turned away; coming back helps after this time.
     Refuse(Millis),
 }
@@ -53,44 +53,44 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::admission::Claim;
+/// use woodgap_core::relay::admission::LatencyRequirement;
 ///
-/// let claim = Claim { is_stream: true, target: Millis(600), left: Millis(6_000) };
-/// assert_eq!(claim.bound(), Millis(900));
+/// let requirement = LatencyRequirement { is_stream: true, target: Millis(600), remaining: Millis(6_000) };
+/// assert_eq!(requirement.max_wait(), Millis(900));
 /// ```
-pub fn decide(choice: &Choice, claim: Claim, spread: f64) -> Verdict {
-    if !choice.is_too_late(claim.bound_for(choice)) {
-        return Verdict::Take;
+pub fn decide(choice: &Choice, requirement: LatencyRequirement, jitter: f64) -> Decision {
+    if !choice.is_too_late(requirement.max_wait_for(choice)) {
+        return Decision::Admit;
     }
     // A span of some seconds.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let after = (choice.wait * (1.0 + spread)) as u64;
-    Verdict::Refuse(SOONEST.max(Millis(after)))
+    let delay = (choice.expected_wait * (1.0 + jitter)) as u64;
+    Decision::Refuse(MIN_RETRY_AFTER.max(Millis(delay)))
 }
 
-impl Claim {
+impl LatencyRequirement {
     /// How long the first byte of its answer may take.
-    pub fn bound(&self) -> Millis {
+    pub fn max_wait(&self) -> Millis {
         if self.is_stream {
-            let most = self.target.0 * PATIENCE_PERCENT / 100;
-            self.left.min(Millis(most))
+            let limit = self.target.0 * MAX_WAIT_PERCENT / 100;
+            self.remaining.min(Millis(limit))
         } else {
-            self.left
+            self.remaining
         }
     }
 
     /// The same for a request that this choice was made for: what its own prompt takes
     /// beyond a part of the target is not held against it. Of the longest tenth of the
     /// prompts one in 116 is turned away in a burst, 20 in 118 without this.
-    pub fn bound_for(&self, choice: &Choice) -> Millis {
+    pub fn max_wait_for(&self, choice: &Choice) -> Millis {
         if !self.is_stream {
-            return self.bound();
+            return self.max_wait();
         }
-        let own = (choice.wait - choice.queue).max(0.0);
-        let usual = self.target.0 as f64 * OWN_PART;
+        let own_prompt = (choice.expected_wait - choice.queue).max(0.0);
+        let allowance = self.target.0 as f64 * OWN_PROMPT_SHARE;
         // A span of some seconds.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let beyond = (own - usual).max(0.0) as u64;
-        self.left.min(self.bound() + Millis(beyond))
+        let excess = (own_prompt - allowance).max(0.0) as u64;
+        self.remaining.min(self.max_wait() + Millis(excess))
     }
 }
--- a/crates/core/src/relay/budget.rs
+++ b/crates/core/src/relay/budget.rs
@@ -9,13 +9,13 @@
 
 /// The part of the bound that is spent: the rest is for windows whose edges lie
 /// otherwise than ours, and for entries that we don't know of yet.
-const SPENT: f64 = 0.8;
+const USABLE_SHARE: f64 = 0.8;
 /// The steps in which a window slides, as a part of its length.
-const STEPS: u64 = 20;
+const STEPS_PER_WINDOW: u64 = 20;
 
 /// The bound as operators set it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RetryLimit {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beyond that, for the whole fleet.
@@ -26,72 +26,72 @@
 
 /// One service's budget at one entry.
 #[derive(Debug)]
-pub struct Budget {
-    bound: Bound,
+pub struct RetryBudget {
+    limit: RetryLimit,
     steps: VecDeque<Step>,
 }
 
 #[derive(Debug)]
 struct Step {
-    begins: Millis,
+    start: Millis,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// An untouched budget.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::budget::{Bound, Budget};
+    /// use woodgap_core::relay::budget::{RetryLimit, RetryBudget};
     ///
-    /// let bound = Bound { ratio: 0.0, slack: 5.0, window: Millis(10_000) };
-    /// let mut budget = Budget::new(bound);
+    /// let limit = RetryLimit { ratio: 0.0, slack: 5.0, window: Millis(10_000) };
+    /// let mut budget = RetryBudget::new(limit);
     /// // A fifth of the slack is not spent, and two entries share the rest.
-    /// assert!(budget.spend(Millis(0), 2));
-    /// assert!(budget.spend(Millis(0), 2));
-    /// assert!(!budget.spend(Millis(0), 2));
+    /// assert!(budget.try_spend(Millis(0), 2));
+    /// assert!(budget.try_spend(Millis(0), 2));
+    /// assert!(!budget.try_spend(Millis(0), 2));
     /// ```
-    pub fn new(bound: Bound) -> Self {
+    pub fn new(limit: RetryLimit) -> Self {
         Self {
-            bound,
+            limit,
             steps: VecDeque::new(),
         }
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Millis) {
-        self.step(now).requests += 1;
+    pub fn record_request(&mut self, now: Millis) {
+        self.current_step(now).requests += 1;
     }
 
     /// Takes one repeat, if the budget of an entry among `entries` has one left.
-    pub fn spend(&mut self, now: Millis, entries: usize) -> bool {
-        self.slide(now);
+    pub fn try_spend(&mut self, now: Millis, entries: usize) -> bool {
+        self.evict_expired(now);
         let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
-        let share = self.bound.slack / entries.max(1) as f64;
-        let most = SPENT * (self.bound.ratio * f64::from(requests) + share);
-        let granted = f64::from(repeats + 1) <= most;
+        let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
+        let share = self.limit.slack / entries.max(1) as f64;
+        let allowed = USABLE_SHARE * (self.limit.ratio * f64::from(requests) + share);
+        let granted = f64::from(retries + 1) <= allowed;
         if granted {
-            self.step(now).repeats += 1;
+            self.current_step(now).retries += 1;
         }
         granted
     }
 
-    fn slide(&mut self, now: Millis) {
-        let window = self.bound.window;
-        self.steps.retain(|step| now - step.begins < window);
+    fn evict_expired(&mut self, now: Millis) {
+        let window = self.limit.window;
+        self.steps.retain(|step| now - step.start < window);
     }
 
-    fn step(&mut self, now: Millis) -> &mut Step {
-        let length = (self.bound.window.0 / STEPS).max(1);
-        let begins = Millis(now.0 / length * length);
-        if self.steps.back().is_none_or(|step| step.begins < begins) {
-            self.slide(now);
+    fn current_step(&mut self, now: Millis) -> &mut Step {
+        let length = (self.limit.window.0 / STEPS_PER_WINDOW).max(1);
+        let start = Millis(now.0 / length * length);
+        if self.steps.back().is_none_or(|step| step.start < start) {
+            self.evict_expired(now);
             self.steps.push_back(Step {
-                begins,
+                start,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = self.steps.len() - 1;
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -4,13 +4,13 @@
 //! theirs, by the load that endpoints report in their answers, and by the prompt
 //! parts that it believes them to keep. Times and costs are in milliseconds.
 
-mod beat;
 mod candidates;
 mod choice;
+mod gossip;
 mod load;
-mod part;
 mod source;
-mod telling;
+mod subset;
+mod token_timing;
 
 pub use choice::Choice;
 pub use load::Report;
@@ -19,17 +19,17 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::relay::Ask;
-use crate::relay::division::Demand;
-use crate::relay::fading::Fading;
-use crate::relay::health::Sign;
-use crate::relay::pace::Pace;
+use crate::relay::RequestProfile;
+use crate::relay::engine_speed::EngineSpeed;
+use crate::relay::fading::DecayingAverage;
+use crate::relay::health::HealthSignal;
+use crate::relay::partition::Demand;
 use crate::relay::tidings::Others;
 use load::Load;
-use part::Part;
+use subset::ActiveSubset;
 
 /// The time for one request at a plain service, before any was seen, in ms.
-const FIRST_SERVICE_TIME: f64 = 20.0;
+const DEFAULT_SERVICE_TIME: f64 = 20.0;
 
 /// A request that was sent; given back at its end.
 #[derive(Debug)]
@@ -47,150 +47,156 @@
 
 /// What is known of all endpoints' load.
 #[derive(Debug)]
-pub struct Loads {
+pub struct LoadBalancer {
     data_centre: name::DataCentre,
     /// By life: one that starts again under its name begins with nothing.
     endpoints: HashMap<name::Life, Load>,
     /// The usual time of a plain service, in ms.
-    service_time: HashMap<String, Fading>,
-    demands: HashMap<String, Demand>,
-    paces: HashMap<String, Pace>,
+    service_time: HashMap<String, DecayingAverage>,
+    demand_by_service: HashMap<String, Demand>,
+    speeds: HashMap<String, EngineSpeed>,
     /// How many engines of each service are in use.
-    parts: HashMap<String, Part>,
-    others: Others,
-    next: u64,
+    subsets: HashMap<String, ActiveSubset>,
+    peers: Others,
+    next_number: u64,
     /// Where the draws of engines begin: entries draw differently.
     seed: u64,
-    drawn: u64,
+    draws: u64,
 }
 
-impl Loads {
+impl LoadBalancer {
     /// Nothing is known yet, at an entry of this data centre.
     pub fn new(data_centre: name::DataCentre, seed: u64) -> Self {
         Self {
             data_centre,
             endpoints: HashMap::new(),
             service_time: HashMap::new(),
-            demands: HashMap::new(),
-            paces: HashMap::new(),
-            parts: HashMap::new(),
-            others: Others::default(),
-            next: 0,
+            demand_by_service: HashMap::new(),
+            speeds: HashMap::new(),
+            subsets: HashMap::new(),
+            peers: Others::default(),
+            next_number: 0,
             seed,
-            drawn: 0,
+            draws: 0,
         }
     }
 
     /// What is known of the speed of a service's engines.
-    fn pace(&self, service: &str) -> Pace {
-        self.paces.get(service).cloned().unwrap_or_default()
+    fn speed(&self, service: &str) -> EngineSpeed {
+        self.speeds.get(service).cloned().unwrap_or_default()
     }
 
     /// Whether requests are kept away from an endpoint.
-    pub fn suspended(&self, endpoint: &name::Life) -> bool {
+    pub fn is_suspended(&self, endpoint: &name::Life) -> bool {
         let load = self.endpoints.get(endpoint);
-        load.is_some_and(|load| load.health.suspended())
+        load.is_some_and(|load| load.health.is_suspended())
     }
 
     /// The suspended endpoints that it is time to connect to.
-    pub fn due(&self, now: Millis) -> Vec<name::Life> {
+    pub fn due_for_reconnect(&self, now: Millis) -> Vec<name::Life> {
         let all = self.endpoints.iter();
-        let due = all.filter(|(_, load)| load.health.due(now));
+        let due = all.filter(|(_, load)| load.health.is_reconnect_due(now));
         due.map(|(life, _)| life.clone()).collect()
     }
 
-    fn own(&self, endpoint: &name::Life) -> usize {
+    fn own_running(&self, endpoint: &name::Life) -> usize {
         self.endpoints.get(endpoint).map_or(0, Load::running)
     }
 
     /// Notes that a request goes to the chosen endpoint.
-    pub fn begin(&mut self, choice: &Choice, ask: &Ask<'_>, now: Millis) -> Ticket {
-        self.next += 1;
+    pub fn begin(&mut self, choice: &Choice, profile: &RequestProfile<'_>, now: Millis) -> Ticket {
+        self.next_number += 1;
         let endpoint = &choice.endpoint;
-        let memory = ask.engine.map_or(0, |engine| engine.memory_tokens);
+        let memory = profile.engine.map_or(0, |engine| engine.memory_tokens);
         let load = self.endpoints.entry(endpoint.life.clone());
         let load = load.or_insert_with(|| Load::new(&endpoint.service, memory));
-        load.begin(self.next, choice, ask, now);
-        self.demand(choice, ask, now);
+        load.begin(self.next_number, choice, profile, now);
+        self.record_demand(choice, profile, now);
         Ticket {
             endpoint: endpoint.life.clone(),
-            number: self.next,
+            number: self.next_number,
         }
     }
 
-    fn demand(&mut self, choice: &Choice, ask: &Ask<'_>, now: Millis) {
-        let Some(work) = ask.work else {
+    fn record_demand(&mut self, choice: &Choice, profile: &RequestProfile<'_>, now: Millis) {
+        let Some(work) = profile.work else {
             return;
         };
         let service = &choice.endpoint.service;
-        self.paces.entry(service.clone()).or_default();
-        let unread = work.prompt_tokens.saturating_sub(choice.kept);
-        let demand = self.demands.entry(service.clone()).or_default();
-        demand.add(ask, unread, now);
+        self.speeds.entry(service.clone()).or_default();
+        let prefill_tokens = work.prompt_tokens.saturating_sub(choice.cached_tokens);
+        let demand = self.demand_by_service.entry(service.clone()).or_default();
+        demand.record_request(profile, prefill_tokens, now);
     }
 
     /// Notes the first byte of an answer.
-    pub fn answered(&mut self, ticket: &Ticket, is_plain: bool, now: Millis) {
+    pub fn record_first_byte(&mut self, ticket: &Ticket, is_plain: bool, now: Millis) {
         let Some(load) = self.endpoints.get_mut(&ticket.endpoint) else {
             return;
         };
-        let pace = self.paces.entry(load.service.clone()).or_default();
-        let took = load.answered(ticket.number, pace, now);
+        let speed = self.speeds.entry(load.service.clone()).or_default();
+        let took = load.record_first_byte(ticket.number, speed, now);
         if let Some(took) = took.filter(|_| is_plain) {
             let time = self.service_time.entry(load.service.clone());
-            let time = time.or_insert(Fading::new(FIRST_SERVICE_TIME));
-            time.learn(took, now);
+            let time = time.or_insert(DecayingAverage::new(DEFAULT_SERVICE_TIME));
+            time.record(took, now);
         }
     }
 
     /// Notes an event of a stream that holds so many tokens.
-    pub fn event(&mut self, ticket: &Ticket, tokens: u32, now: Millis) {
+    pub fn record_event(&mut self, ticket: &Ticket, tokens: u32, now: Millis) {
         let Some(load) = self.endpoints.get_mut(&ticket.endpoint) else {
             return;
         };
-        let Some(pause) = load.event(ticket.number, now) else {
+        let Some(gap) = load.record_event(ticket.number, now) else {
             return;
         };
-        let Some(window) = load.beat.pause(pause, now) else {
+        let Some(window) = load.token_timing.record_gap(gap, now) else {
             return;
         };
-        let token_time = load.beat.judge(window, tokens, now);
-        let pace = self.paces.entry(load.service.clone()).or_default();
-        let others = self.others.at(&ticket.endpoint, pace.read_rate(), now);
-        pace.token(load.running() as f64 + others.running, token_time);
+        let token_time = load.token_timing.evaluate(window, tokens, now);
+        let speed = self.speeds.entry(load.service.clone()).or_default();
+        let others = self.peers.at(&ticket.endpoint, speed.prefill_rate(), now);
+        speed.record_token(load.running() as f64 + others.running, token_time);
     }
 
     /// Notes how a stream of a service ended: whether it was late, or turned away since
     /// it would have been.
-    pub fn ended(&mut self, service: &str, is_steady: bool, is_late: bool, now: Millis) {
-        if let Some(demand) = self.demands.get_mut(service) {
-            demand.ended(is_steady, is_late, now);
+    pub fn record_stream_end(
+        &mut self,
+        service: &str,
+        is_decode_heavy: bool,
+        is_late: bool,
+        now: Millis,
+    ) {
+        if let Some(demand) = self.demand_by_service.get_mut(service) {
+            demand.record_stream_end(is_decode_heavy, is_late, now);
         }
     }
 
     /// How many engines the requests of so many entries to a service need at ease. Those that
     /// were not heard lately are taken to have as much as the others.
     pub fn engines_needed(&self, service: &str, entries: usize, now: Millis) -> f64 {
-        let own = self.demands.get(service);
+        let own = self.demand_by_service.get(service);
         let own = own.map(|demand| demand.needed(now)).unwrap_or_default();
-        let others = self.others.needed(service, now);
+        let others = self.peers.needed(service, now);
         let tokens = own.steady + own.reading + others.steady + others.reading;
-        let heard = self.others.count(now) + 1;
-        let part = heard as f64 / entries.max(heard) as f64;
-        tokens / part / self.pace(service).read_rate()
+        let known_entries = self.peers.count(now) + 1;
+        let share = known_entries as f64 / entries.max(known_entries) as f64;
+        tokens / share / self.speed(service).prefill_rate()
     }
 
     /// Takes the load that an endpoint reported.
-    pub fn report(&mut self, endpoint: &name::Life, report: Report, now: Millis) {
+    pub fn record_report(&mut self, endpoint: &name::Life, report: Report, now: Millis) {
         if let Some(load) = self.endpoints.get_mut(endpoint) {
-            load.report(report, now);
+            load.record_report(report, now);
         }
     }
 
     /// Takes in what a connection or an answer tells of an endpoint.
-    pub fn note(&mut self, endpoint: &name::Life, sign: Sign, now: Millis) {
+    pub fn record_signal(&mut self, endpoint: &name::Life, signal: HealthSignal, now: Millis) {
         if let Some(load) = self.endpoints.get_mut(endpoint) {
-            load.note(sign, now);
+            load.record_signal(signal, now);
         }
     }
 
@@ -202,7 +208,7 @@
     }
 
     /// Forgets endpoints that are gone.
-    pub fn forget(&mut self, endpoints: &[name::Life]) {
+    pub fn remove(&mut self, endpoints: &[name::Life]) {
         for endpoint in endpoints {
             self.endpoints.remove(endpoint);
         }
--- a/crates/core/src/relay/engine/choice.rs
+++ b/crates/core/src/relay/engine/choice.rs
@@ -1,13 +1,15 @@
 //! The choice itself: what a request would meet at each endpoint, and what it costs.
 
 use crate::clock::Millis;
-use crate::relay::Ask;
-use crate::relay::division::Division;
-use crate::relay::engine::candidates::Keepers;
-use crate::relay::engine::load::{Estimate, Load, at_engine, expected, kept, known};
-use crate::relay::engine::source::Source;
-use crate::relay::engine::{FIRST_SERVICE_TIME, Loads, candidates};
-use crate::relay::pace::Pace;
+use crate::relay::RequestProfile;
+use crate::relay::engine::candidates::PrefixOwners;
+use crate::relay::engine::load::{
+    Estimate, Load, estimate_engine, expected_cached, expected_shared, known_cached,
+};
+use crate::relay::engine::source::PrefixSource;
+use crate::relay::engine::{DEFAULT_SERVICE_TIME, LoadBalancer, candidates};
+use crate::relay::engine_speed::EngineSpeed;
+use crate::relay::partition::Partition;
 use crate::relay::prefix;
 use crate::relay::roster::Endpoint;
 use crate::relay::work::Work;
@@ -16,11 +18,11 @@
 const STALL_COST: f64 = 5_000.0;
 /// The price of an engine that is meant for the other sort of streams, in ms: so
 /// much longer a request waits on its own side before it goes there.
-const OTHER_SIDE_COST: f64 = 600.0;
+const WRONG_GROUP_COST: f64 = 600.0;
 /// What an endpoint in another data centre costs, in ms: the round trip, and the
 /// bytes that are paid for between data centres. Reading a shared prompt again
 /// costs far more.
-const FAR_COST: f64 = 5.0;
+const REMOTE_COST: f64 = 5.0;
 /// What a certain failure would cost, in ms: about the time that a caller waits
 /// before it is too late for another try.
 const FAILURE_COST: f64 = 2_000.0;
@@ -29,7 +31,7 @@
 
 /// Within so many times its forecast nearly every stream has ended: nine tenths of 5,692
 /// streams of a run under bursts took at most 1.96 times as long as forecast.
-const LIKELY: f64 = 2.0;
+const END_MARGIN: f64 = 2.0;
 
 /// A choice, with the figures that led to it.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,23 +39,23 @@
     /// The endpoint.
     pub endpoint: Endpoint,
     /// Expected time until the first byte of the answer, in ms.
-    pub wait: f64,
+    pub expected_wait: f64,
     /// The part of that which is known to be due to other requests, in ms.
     pub queue: f64,
     /// Requests of this entry that are there.
-    pub own: usize,
+    pub own_running: usize,
     /// Requests of all entries that are there, as far as is known.
     pub running: f64,
     /// The time from the first event of its stream to the last, in ms.
-    pub run: f64,
+    pub stream_time: f64,
     /// What the choice costs in all, in ms: the wait, and what others suffer.
     pub cost: f64,
     /// Prompt tokens that are believed to be kept there.
-    pub kept: u32,
+    pub cached_tokens: u32,
     /// An engine that keeps more of the prompt, from which that is to be taken.
-    pub source: Option<Endpoint>,
+    pub prompt_source: Option<Endpoint>,
     /// Prompt tokens that the engine will have to read then, this request's included.
-    pub unread: f64,
+    pub prefill_tokens: f64,
 }
 
 impl Choice {
@@ -61,178 +63,182 @@
     ///
     /// What was learnt of an endpoint counts only while a request of this entry is
     /// there to correct it; else it would be kept away from for ever.
-    pub fn is_too_late(&self, left: Millis) -> bool {
-        let left = left.0 as f64;
-        self.queue > left || (self.own > 0 && self.wait > left)
+    pub fn is_too_late(&self, remaining: Millis) -> bool {
+        let remaining = remaining.0 as f64;
+        self.queue > remaining || (self.own_running > 0 && self.expected_wait > remaining)
     }
 
     /// When the answer is likely to have ended; none for a stream of unknown length.
-    pub fn likely_end(&self, is_stream: bool, now: Millis) -> Option<Millis> {
-        if is_stream && self.run <= 0.0 {
+    pub fn estimated_end(&self, is_stream: bool, now: Millis) -> Option<Millis> {
+        if is_stream && self.stream_time <= 0.0 {
             return None;
         }
-        let lasts = (self.wait + self.run) * LIKELY;
+        let duration = (self.expected_wait + self.stream_time) * END_MARGIN;
         // A span of some seconds.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let lasts = Millis(lasts as u64);
-        Some(now + lasts)
+        let duration = Millis(duration as u64);
+        Some(now + duration)
     }
 }
 
 /// What a request would meet at an endpoint, and what that costs in all, in ms.
 #[derive(Clone, Copy, Debug)]
-struct Prospect {
+struct CostedEstimate {
     estimate: Estimate,
     cost: f64,
 }
 
-impl Loads {
+impl LoadBalancer {
     /// The best of the endpoints; none where all are suspended or there is none.
     pub fn choose(
         &mut self,
         endpoints: &[&Endpoint],
-        ask: &Ask<'_>,
+        profile: &RequestProfile<'_>,
         now: Millis,
     ) -> Option<Choice> {
-        let open = endpoints.iter().filter(|it| !self.suspended(&it.life));
+        let open = endpoints.iter().filter(|it| !self.is_suspended(&it.life));
         let open: Vec<&Endpoint> = open.copied().collect();
-        let division = self.divide(&open, now);
-        let pace = open.first().map(|it| self.pace(&it.service));
-        let pace = pace.unwrap_or_default();
-        let is_for_steady = division.is_for_steady(ask.work);
-        let keepers = Keepers::find(&division, is_for_steady, ask);
-        let favourite = keepers.all;
-        let calm = self.calm_tokens(&open, &pace);
-        let entries = self.others.count(now) + 1;
-        let candidates = candidates::draw(&division, favourite, entries, self.next_draw());
-        let choices = candidates.into_iter().map(|(engine, is_steady)| {
-            let is_favourite = favourite == Some(&engine.life);
-            let mut prospect = self.estimate(engine, ask, is_favourite, &pace, now);
-            if is_steady != is_for_steady {
-                prospect.cost += OTHER_SIDE_COST;
+        let partition = self.partition(&open, now);
+        let speed = open.first().map(|it| self.speed(&it.service));
+        let speed = speed.unwrap_or_default();
+        let uses_decode_engines = partition.uses_decode_engines(profile.work);
+        let owners = PrefixOwners::find(&partition, uses_decode_engines, profile);
+        let preferred = owners.shared_prefix;
+        let max_backlog = self.max_prefill_backlog(&open, &speed);
+        let entries = self.peers.count(now) + 1;
+        let candidates = candidates::sample(&partition, preferred, entries, self.next_seed());
+        let choices = candidates.into_iter().map(|(engine, is_decode_engine)| {
+            let is_preferred = preferred == Some(&engine.life);
+            let mut costed = self.estimate(engine, profile, is_preferred, &speed, now);
+            if is_decode_engine != uses_decode_engines {
+                costed.cost += WRONG_GROUP_COST;
             }
-            if is_steady && prospect.estimate.unread > calm {
-                prospect.cost += STALL_COST;
+            if is_decode_engine && costed.estimate.prefill_tokens > max_backlog {
+                costed.cost += STALL_COST;
             }
-            (engine, prospect)
+            (engine, costed)
         });
         let best = choices.min_by(|(_, left), (_, right)| left.cost.total_cmp(&right.cost));
-        let (endpoint, Prospect { estimate, cost }) = best?;
-        let source = self.source(&open, endpoint, keepers, ask);
+        let (endpoint, CostedEstimate { estimate, cost }) = best?;
+        let source = self.select_source(&open, endpoint, owners, profile);
         Some(Choice {
             endpoint: endpoint.clone(),
-            wait: estimate.wait,
+            expected_wait: estimate.expected_wait,
             queue: estimate.queue,
-            own: self.own(&endpoint.life),
+            own_running: self.own_running(&endpoint.life),
             running: estimate.running,
-            run: estimate.run,
+            stream_time: estimate.stream_time,
             cost,
-            kept: estimate.kept,
-            source: source.cloned(),
-            unread: estimate.unread,
+            cached_tokens: estimate.cached_tokens,
+            prompt_source: source.cloned(),
+            prefill_tokens: estimate.prefill_tokens,
         })
     }
 
     /// The engine from which the chosen one takes kept parts of a prompt, if engines give
     /// them to one another.
-    fn source<'e>(
+    fn select_source<'e>(
         &self,
         engines: &[&'e Endpoint],
         chosen: &Endpoint,
-        keepers: Keepers<'_>,
-        ask: &Ask<'_>,
+        owners: PrefixOwners<'_>,
+        profile: &RequestProfile<'_>,
     ) -> Option<&'e Endpoint> {
-        let work = ask.work?;
-        ask.engine.filter(|engine| engine.moves_prompts)?;
+        let work = profile.work?;
+        profile.engine.filter(|engine| engine.moves_prompts)?;
         let others = engines.iter().filter(|it| it.life != chosen.life);
-        let sources = others.map(|engine| Source {
+        let sources = others.map(|engine| PrefixSource {
             engine,
-            kept: self.kept_by(engine, keepers, work),
+            cached: self.available_from(engine, owners, work),
         });
-        let best = sources.max_by(|left, right| left.kept.total_cmp(&right.kept))?;
-        let known = known(self.endpoints.get(&chosen.life), work);
+        let best = sources.max_by(|left, right| left.cached.total_cmp(&right.cached))?;
+        let known = known_cached(self.endpoints.get(&chosen.life), work);
         best.serves(known).then_some(best.engine)
     }
 
     /// Prompt tokens that an engine is believed to keep, as far as others could take them.
-    fn kept_by(&self, engine: &Endpoint, keepers: Keepers<'_>, work: &Work) -> f64 {
+    fn available_from(&self, engine: &Endpoint, owners: PrefixOwners<'_>, work: &Work) -> f64 {
         let load = self.endpoints.get(&engine.life);
-        let kept = kept(load, work, keepers.all == Some(&engine.life));
-        if keepers.first != Some(&engine.life) {
-            return kept;
+        let cached = expected_cached(load, work, owners.shared_prefix == Some(&engine.life));
+        if owners.first_part != Some(&engine.life) {
+            return cached;
         }
         let first = work.shared_parts().get(..1).unwrap_or_default();
-        kept.max(expected(first))
+        cached.max(expected_shared(first))
     }
 
-    fn next_draw(&mut self) -> u64 {
-        self.drawn += 1;
-        prefix::mix(self.seed, self.drawn)
+    fn next_seed(&mut self) -> u64 {
+        self.draws += 1;
+        prefix::mix(self.seed, self.draws)
     }
 
     /// How many unread tokens an engine may have before its steady streams stall.
-    fn calm_tokens(&self, endpoints: &[&Endpoint], pace: &Pace) -> f64 {
+    fn max_prefill_backlog(&self, endpoints: &[&Endpoint], speed: &EngineSpeed) -> f64 {
         let first = endpoints.first();
-        let demand = first.and_then(|it| self.demands.get(&it.service));
-        demand.map_or(f64::INFINITY, |demand| demand.calm_tokens(pace))
+        let demand = first.and_then(|it| self.demand_by_service.get(&it.service));
+        demand.map_or(f64::INFINITY, |demand| demand.max_prefill_backlog(speed))
     }
 
     /// Divides the engines of a service between the two sorts of streams.
-    fn divide<'e>(&mut self, endpoints: &[&'e Endpoint], now: Millis) -> Division<'e> {
+    fn partition<'e>(&mut self, endpoints: &[&'e Endpoint], now: Millis) -> Partition<'e> {
         let Some(first) = endpoints.first() else {
-            return Division::new(endpoints, 0);
+            return Partition::new(endpoints, 0);
         };
-        let others = self.others.needed(&first.service, now);
-        let demand = self.demands.get_mut(&first.service);
-        let steady = demand.map_or(0, |demand| demand.settle(endpoints.len(), others, now));
-        Division::new(endpoints, steady)
+        let peers = self.peers.needed(&first.service, now);
+        let demand = self.demand_by_service.get_mut(&first.service);
+        let decode_engines =
+            demand.map_or(0, |demand| demand.allocate(endpoints.len(), peers, now));
+        Partition::new(endpoints, decode_engines)
     }
 
     fn estimate(
         &self,
         endpoint: &Endpoint,
-        ask: &Ask<'_>,
-        is_favourite: bool,
-        pace: &Pace,
+        profile: &RequestProfile<'_>,
+        is_preferred: bool,
+        speed: &EngineSpeed,
         now: Millis,
-    ) -> Prospect {
+    ) -> CostedEstimate {
         let load = self.endpoints.get(&endpoint.life);
-        let estimate = match (ask.work, ask.engine) {
+        let estimate = match (profile.work, profile.engine) {
             (Some(work), Some(engine)) => {
-                let others = self.others.at(&endpoint.life, pace.read_rate(), now);
-                at_engine(load, others, work, engine, is_favourite, pace, now)
+                let peers = self.peers.at(&endpoint.life, speed.prefill_rate(), now);
+                estimate_engine(load, peers, work, engine, is_preferred, speed, now)
             }
-            _ => self.at_service(load, endpoint, now),
+            _ => self.estimate_service(load, endpoint, now),
         };
         let slowness = load.map_or(1.0, |load| load.slowness(now));
-        let failing = load.map_or(0.0, |load| load.health.failing());
+        let failing = load.map_or(0.0, |load| load.health.failure_rate());
         let overdue = load.map_or(0.0, |load| load.overdue(now));
-        let is_far = endpoint.data_centre != self.data_centre;
-        let far = if is_far { FAR_COST } else { 0.0 };
-        let wait = estimate.wait * slowness;
-        let trouble = failing * FAILURE_COST + overdue * OVERDUE_COST;
-        Prospect {
-            estimate: Estimate { wait, ..estimate },
-            cost: wait + estimate.disturbance + far + trouble,
+        let is_remote = endpoint.data_centre != self.data_centre;
+        let remote = if is_remote { REMOTE_COST } else { 0.0 };
+        let expected_wait = estimate.expected_wait * slowness;
+        let failure_cost = failing * FAILURE_COST + overdue * OVERDUE_COST;
+        CostedEstimate {
+            estimate: Estimate {
+                expected_wait,
+                ..estimate
+            },
+            cost: expected_wait + estimate.disturbance + remote + failure_cost,
         }
     }
 
     /// What a request would meet at an endpoint of a plain service.
-    fn at_service(&self, load: Option<&Load>, endpoint: &Endpoint, now: Millis) -> Estimate {
+    fn estimate_service(&self, load: Option<&Load>, endpoint: &Endpoint, now: Millis) -> Estimate {
         let time = self.service_time.get(&endpoint.service);
-        let time = time.map_or(FIRST_SERVICE_TIME, |time| time.now(now));
+        let time = time.map_or(DEFAULT_SERVICE_TIME, |time| time.value_at(now));
         let own = load.map_or(0.0, |load| load.running() as f64);
-        let others = load.map_or(0.0, |load| load.reported_others(now));
+        let peers = load.map_or(0.0, |load| load.reported_others(now));
         let slots = f64::from(endpoint.slots.max(1));
-        let waiting = (own + others) / slots;
+        let waiting = (own + peers) / slots;
         Estimate {
-            wait: time * (1.0 + waiting),
-            queue: FIRST_SERVICE_TIME * waiting,
+            expected_wait: time * (1.0 + waiting),
+            queue: DEFAULT_SERVICE_TIME * waiting,
             disturbance: 0.0,
-            kept: 0,
-            unread: 0.0,
-            run: 0.0,
-            running: own + others,
+            cached_tokens: 0,
+            prefill_tokens: 0.0,
+            stream_time: 0.0,
+            running: own + peers,
         }
     }
 }
--- a/crates/core/src/relay/engine/telling.rs
+++ b/crates/core/src/relay/engine/gossip.rs
@@ -5,57 +5,57 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::relay::engine::Loads;
+use crate::relay::engine::LoadBalancer;
 use crate::relay::tidings::{self, Share, Tidings, Work};
 
 /// The most services whose work one message tells of: so that it fits into a datagram
 /// beside what is told of endpoints.
-const MOST_WORKS: usize = 10;
+const MAX_WORKS: usize = 10;
 /// In the room of one service's work, so many endpoints could be told of.
-const SHARES_FOR_WORK: usize = 4;
+const SHARES_PER_WORK: usize = 4;
 
-impl Loads {
+impl LoadBalancer {
     /// This entry's load, for the others; of at most so many endpoints.
-    pub fn tidings(&self, most: usize, now: Millis) -> Tidings {
+    pub fn gossip(&self, max_shares: usize, now: Millis) -> Tidings {
         let all = self.endpoints.iter();
         let busy = all.filter(|(_, load)| load.running() > 0);
         let shares = busy.map(|(life, load)| Share {
             endpoint: tidings::life_key(life),
             running: u32::try_from(load.running()).unwrap_or(u32::MAX),
-            unread: load.unread(),
-            held: load.held(),
-            token_time: load.beat.seen(now).map_or(0, tenths),
+            unread: load.pending_prefill(),
+            held: load.reserved_tokens(),
+            token_time: load.token_timing.recent(now).map_or(0, tenths),
         });
         let works = self.works(now);
-        let most = most.saturating_sub(SHARES_FOR_WORK * works.len().saturating_sub(1));
+        let max_shares = max_shares.saturating_sub(SHARES_PER_WORK * works.len().saturating_sub(1));
         let mut shares: Vec<_> = shares.collect();
         shares.sort_unstable_by_key(|share| Reverse((share.unread, share.running)));
-        shares.truncate(most);
+        shares.truncate(max_shares);
         Tidings { shares, works }
     }
 
     /// The work for each service, the heaviest first.
     fn works(&self, now: Millis) -> Vec<Work> {
-        let works = self.demands.iter().map(|(service, demand)| Work {
+        let works = self.demand_by_service.iter().map(|(service, demand)| Work {
             service: tidings::key(service),
             needed: demand.needed(now),
-            pace: self.pace(service).tell(),
+            pace: self.speed(service).report(),
         });
         let mut works: Vec<_> = works.collect();
         let weight = |work: &Work| work.needed.steady + work.needed.reading;
         works.sort_by(|left, right| weight(right).total_cmp(&weight(left)));
-        works.truncate(MOST_WORKS);
+        works.truncate(MAX_WORKS);
         works
     }
 
     /// Takes what another entry tells of its load.
-    pub fn tell(&mut self, entry: &name::Entry, tidings: &Tidings, now: Millis) {
-        self.others.tell(entry, tidings, now);
-        for (service, pace) in &mut self.paces {
+    pub fn apply_gossip(&mut self, entry: &name::Entry, tidings: &Tidings, now: Millis) {
+        self.peers.tell(entry, tidings, now);
+        for (service, speed) in &mut self.speeds {
             let key = tidings::key(service);
             let mut works = tidings.works.iter();
             if let Some(work) = works.find(|work| work.service == key) {
-                pace.told(&work.pace);
+                speed.adopt(&work.pace);
             }
         }
         let seen = tidings.shares.iter().filter(|share| share.token_time > 0);
@@ -65,7 +65,7 @@
         }
         for (life, load) in &mut self.endpoints {
             if let Some(tenths) = times.get(&tidings::life_key(life)) {
-                load.beat.learn(f64::from(*tenths) / 10.0, now);
+                load.token_timing.record(f64::from(*tenths) / 10.0, now);
             }
         }
     }
--- a/crates/core/src/relay/engine/load.rs
+++ b/crates/core/src/relay/engine/load.rs
@@ -3,14 +3,14 @@
 use std::collections::HashMap;
 
 use crate::clock::Millis;
-use crate::relay::Ask;
+use crate::relay::RequestProfile;
 use crate::relay::engine::Choice;
-use crate::relay::engine::beat::Beat;
-use crate::relay::fading::Fading;
-use crate::relay::health::{Health, Sign};
-use crate::relay::pace::Pace;
+use crate::relay::engine::token_timing::TokenTiming;
+use crate::relay::engine_speed::EngineSpeed;
+use crate::relay::fading::DecayingAverage;
+use crate::relay::health::{Health, HealthSignal};
 use crate::relay::plan::Engine;
-use crate::relay::prefix::Prefix;
+use crate::relay::prefix::PrefixCache;
 use crate::relay::tidings::Elsewhere;
 use crate::relay::work::{Part, Work};
 
@@ -19,34 +19,34 @@
 const RUNNING_COST: f64 = 2.0;
 /// What a millisecond of reading a prompt costs the requests that come after it
 /// and the streams beside it, in ms.
-const READING_COST: f64 = 8.0;
+const PREFILL_COST: f64 = 8.0;
 /// The part of an engine's slots up to which one more request is no danger to
 /// those that run: above it, a burst that the entries see late may overfill the
 /// engine, and it would put requests back that had begun.
-const EASE: f64 = 0.6;
+const CROWDING_THRESHOLD: f64 = 0.6;
 /// The price of each request above that, in ms: at a fifth of the slots more it
 /// exceeds the price of an engine of the other side.
 const CROWDING_COST: f64 = 50.0;
 /// From so many tokens on, reading takes most of the time to the first event, so that
 /// this tells how fast an engine reads.
-const LEAST_READ: f64 = 2_000.0;
+const MIN_PREFILL_SAMPLE: f64 = 2_000.0;
 /// An answer that comes sooner, in ms, shows that the prompt was kept after all: to
 /// read so much takes longer on any engine.
-const LEAST_TIME: f64 = 5.0;
+const MIN_PREFILL_TIME: f64 = 5.0;
 /// What a millisecond costs for which a stream runs after its first event: it holds
 /// a place and memory that others wait for, and is lost if the engine is.
-const RUN_COST: f64 = 0.1;
+const STREAM_TIME_COST: f64 = 0.1;
 /// An answer is overdue after so many times its expected wait, and a span in ms
 /// that an endpoint may be busy with something else.
 const OVERDUE_FACTOR: f64 = 2.0;
 const OVERDUE_SLACK: f64 = 200.0;
 /// The part of a shared prompt that the entries' common choice for it is
 /// believed to keep.
-const EXPECTED_KEPT: f64 = 0.9;
+const EXPECTED_CACHED_SHARE: f64 = 0.9;
 /// After so long a report of load counts for nothing.
-const REPORT_LIFE: Millis = Millis(1_000);
+const REPORT_LIFETIME: Millis = Millis(1_000);
 /// Bounds of the factor by which an endpoint is slower than expected.
-const SLOWNESS: (f64, f64) = (0.5, 20.0);
+const SLOWNESS_RANGE: (f64, f64) = (0.5, 20.0);
 
 /// The load that an endpoint reported in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,27 +65,27 @@
     pub service: String,
     pub health: Health,
     /// The factor by which its answers take longer than expected.
-    slowness: Fading,
-    pub beat: Beat,
-    flights: HashMap<u64, Flight>,
-    prefix: Prefix,
+    slowness: DecayingAverage,
+    pub token_timing: TokenTiming,
+    in_flight: HashMap<u64, InFlight>,
+    prefix_cache: PrefixCache,
     /// The last report, the own requests there at the time, and the time.
     report: Option<(Report, usize, Millis)>,
 }
 
 /// One request that is with the endpoint.
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     began: Millis,
     /// The wait that was expected, in ms.
     expected: f64,
     /// Prompt tokens that are not read yet.
-    unread: u32,
+    pending_prefill: u32,
     /// Tokens of memory that it takes or will take.
-    held: u32,
-    answered: bool,
+    reserved_tokens: u32,
+    has_answered: bool,
     /// What the engine had to read in all when it was sent, in tokens.
-    ahead: f64,
+    prefill_ahead: f64,
     last_event: Option<Millis>,
 }
 
@@ -93,26 +93,26 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
     /// Time until the first byte of its answer, in ms.
-    pub wait: f64,
+    pub expected_wait: f64,
     /// The part of that which is known to be due to other requests, in ms.
     pub queue: f64,
     /// What other requests suffer, in ms.
     pub disturbance: f64,
     /// Prompt tokens that are believed to be kept there.
-    pub kept: u32,
+    pub cached_tokens: u32,
     /// Prompt tokens that the engine would have to read in all.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// Requests there, of all entries.
     pub running: f64,
     /// The time from the first event to the last, in ms.
-    pub run: f64,
+    pub stream_time: f64,
 }
 
-impl Flight {
+impl InFlight {
     /// For how long, in ms, its answer is overdue.
     fn overdue(&self, now: Millis) -> f64 {
-        let due = self.expected * OVERDUE_FACTOR + OVERDUE_SLACK;
-        ((now - self.began).0 as f64 - due).max(0.0)
+        let deadline = self.expected * OVERDUE_FACTOR + OVERDUE_SLACK;
+        ((now - self.began).0 as f64 - deadline).max(0.0)
     }
 }
 
@@ -123,34 +123,43 @@
         Self {
             service: service.to_owned(),
             health: Health::default(),
-            slowness: Fading::new(1.0),
-            beat: Beat::default(),
-            flights: HashMap::new(),
-            prefix: Prefix::new(memory_tokens),
+            slowness: DecayingAverage::new(1.0),
+            token_timing: TokenTiming::default(),
+            in_flight: HashMap::new(),
+            prefix_cache: PrefixCache::new(memory_tokens),
             report: None,
         }
     }
 
     /// The own requests there.
     pub fn running(&self) -> usize {
-        self.flights.len()
+        self.in_flight.len()
     }
 
     /// Prompt tokens of the own requests that are not read yet.
-    pub fn unread(&self) -> u32 {
-        self.flights.values().map(|flight| flight.unread).sum()
+    pub fn pending_prefill(&self) -> u32 {
+        self.in_flight
+            .values()
+            .map(|request| request.pending_prefill)
+            .sum()
     }
 
     /// Tokens of memory that the own requests take or will take.
-    pub fn held(&self) -> u32 {
-        self.flights.values().map(|flight| flight.held).sum()
+    pub fn reserved_tokens(&self) -> u32 {
+        self.in_flight
+            .values()
+            .map(|request| request.reserved_tokens)
+            .sum()
     }
 
     /// For how long, in ms, the oldest request without an answer is overdue: the
     /// first sign of an endpoint that accepts requests and does nothing.
     pub fn overdue(&self, now: Millis) -> f64 {
-        let waiting = self.flights.values().filter(|flight| !flight.answered);
-        let overdue = waiting.map(|flight| flight.overdue(now));
+        let waiting = self
+            .in_flight
+            .values()
+            .filter(|request| !request.has_answered);
+        let overdue = waiting.map(|request| request.overdue(now));
         overdue.fold(0.0, f64::max)
     }
 
@@ -159,138 +168,151 @@
         let Some((report, own, at)) = self.report else {
             return 0.0;
         };
-        let age = (now - at).0 as f64 / REPORT_LIFE.0 as f64;
+        let age = (now - at).0 as f64 / REPORT_LIFETIME.0 as f64;
         let all = f64::from(report.running + report.waiting);
         (all - own as f64).max(0.0) * (1.0 - age).max(0.0)
     }
 
     /// Takes the load that the endpoint reported.
-    pub fn report(&mut self, report: Report, now: Millis) {
-        self.report = Some((report, self.flights.len(), now));
+    pub fn record_report(&mut self, report: Report, now: Millis) {
+        self.report = Some((report, self.in_flight.len(), now));
     }
 
     /// Takes a request on.
-    pub fn begin(&mut self, number: u64, choice: &Choice, ask: &Ask<'_>, now: Millis) {
-        let parts: &[Part] = ask.work.map_or(&[], |work| &work.parts);
-        self.prefix.touch(parts, now);
-        let prompt = ask.work.map_or(0, |work| work.prompt_tokens);
-        let output = ask.work.map_or(0, Work::output);
-        let flight = Flight {
+    pub fn begin(
+        &mut self,
+        number: u64,
+        choice: &Choice,
+        profile: &RequestProfile<'_>,
+        now: Millis,
+    ) {
+        let parts: &[Part] = profile.work.map_or(&[], |work| &work.parts);
+        self.prefix_cache.record(parts, now);
+        let prompt = profile.work.map_or(0, |work| work.prompt_tokens);
+        let output = profile.work.map_or(0, Work::expected_output);
+        let request = InFlight {
             began: now,
-            expected: choice.wait,
-            unread: prompt.saturating_sub(choice.kept),
-            held: prompt + output,
-            answered: false,
-            ahead: choice.unread,
+            expected: choice.expected_wait,
+            pending_prefill: prompt.saturating_sub(choice.cached_tokens),
+            reserved_tokens: prompt + output,
+            has_answered: false,
+            prefill_ahead: choice.prefill_tokens,
             last_event: None,
         };
-        self.flights.insert(number, flight);
+        self.in_flight.insert(number, request);
     }
 
     /// Notes the first byte of an answer: the prompt is read. Gives back how long
     /// it took, in ms; none if the request is not there.
-    pub fn answered(&mut self, number: u64, pace: &mut Pace, now: Millis) -> Option<f64> {
-        let flight = self.flights.get_mut(&number)?;
-        flight.answered = true;
-        flight.unread = 0;
-        let took = (now - flight.began).0 as f64;
-        if flight.ahead >= LEAST_READ && took >= LEAST_TIME {
-            pace.read(flight.ahead, took);
+    pub fn record_first_byte(
+        &mut self,
+        number: u64,
+        speed: &mut EngineSpeed,
+        now: Millis,
+    ) -> Option<f64> {
+        let request = self.in_flight.get_mut(&number)?;
+        request.has_answered = true;
+        request.pending_prefill = 0;
+        let took = (now - request.began).0 as f64;
+        if request.prefill_ahead >= MIN_PREFILL_SAMPLE && took >= MIN_PREFILL_TIME {
+            speed.record_prefill(request.prefill_ahead, took);
         }
-        let ratio = took / flight.expected.max(1.0);
-        let sample = ratio * self.slowness.now(now);
+        let ratio = took / request.expected.max(1.0);
+        let sample = ratio * self.slowness.value_at(now);
         self.slowness
-            .learn(sample.clamp(SLOWNESS.0, SLOWNESS.1), now);
+            .record(sample.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1), now);
         Some(took)
     }
 
     /// Notes an event of a stream; gives back the pause before it, in ms.
-    pub fn event(&mut self, number: u64, now: Millis) -> Option<Millis> {
-        let flight = self.flights.get_mut(&number)?;
-        let last = flight.last_event.replace(now);
+    pub fn record_event(&mut self, number: u64, now: Millis) -> Option<Millis> {
+        let request = self.in_flight.get_mut(&number)?;
+        let last = request.last_event.replace(now);
         last.map(|last| now - last)
     }
 
     /// The factor by which its answers take longer than expected.
     pub fn slowness(&self, now: Millis) -> f64 {
-        self.slowness.now(now)
+        self.slowness.value_at(now)
     }
 
     /// Takes a request off. One that ends while its answer is overdue tells
     /// against the endpoint, whoever ended it.
     pub fn end(&mut self, number: u64, now: Millis) {
-        let Some(flight) = self.flights.remove(&number) else {
+        let Some(request) = self.in_flight.remove(&number) else {
             return;
         };
-        if !flight.answered && flight.overdue(now) > 0.0 {
-            self.health.note(Sign::Bad, now);
+        if !request.has_answered && request.overdue(now) > 0.0 {
+            self.health.record(HealthSignal::Failure, now);
         }
     }
 
     /// Takes in what a connection or an answer tells of the endpoint.
-    pub fn note(&mut self, sign: Sign, now: Millis) {
-        self.health.note(sign, now);
-        if sign == Sign::Lost {
-            self.prefix.clear();
+    pub fn record_signal(&mut self, signal: HealthSignal, now: Millis) {
+        self.health.record(signal, now);
+        if signal == HealthSignal::Lost {
+            self.prefix_cache.clear();
         }
     }
 }
 
 /// What a request would meet at an engine, with what other entries have there.
-pub(super) fn at_engine(
+pub(super) fn estimate_engine(
     load: Option<&Load>,
-    others: Elsewhere,
+    peers: Elsewhere,
     work: &Work,
     engine: Engine,
-    is_favourite: bool,
-    pace: &Pace,
+    is_preferred: bool,
+    speed: &EngineSpeed,
     now: Millis,
 ) -> Estimate {
-    let read_rate = pace.read_rate();
-    let kept = kept(load, work, is_favourite);
-    let unread = (f64::from(work.prompt_tokens) - kept).max(0.0);
-    let ahead = load.map_or(0.0, |load| f64::from(load.unread())) + others.unread;
-    let running = load.map_or(0.0, |load| load.running() as f64) + others.running;
-    let held = load.map_or(0.0, |load| f64::from(load.held())) + others.held;
-    let needed = held + f64::from(work.prompt_tokens + work.output());
-    let lacking = (needed - f64::from(engine.memory_tokens)).max(0.0);
-    let crowding = (running + 1.0 - EASE * f64::from(engine.slots)).max(0.0);
-    let usual = pace.token_time(0.0);
-    let token_time = load.map_or(usual, |load| load.beat.token_time(usual, now));
-    let run = f64::from(work.output()) * token_time;
+    let prefill_rate = speed.prefill_rate();
+    let cached_tokens = expected_cached(load, work, is_preferred);
+    let own_prefill = (f64::from(work.prompt_tokens) - cached_tokens).max(0.0);
+    let ahead = load.map_or(0.0, |load| f64::from(load.pending_prefill())) + peers.unread;
+    let running = load.map_or(0.0, |load| load.running() as f64) + peers.running;
+    let reserved = load.map_or(0.0, |load| f64::from(load.reserved_tokens())) + peers.held;
+    let needed = reserved + f64::from(work.prompt_tokens + work.expected_output());
+    let memory_shortfall = (needed - f64::from(engine.memory_tokens)).max(0.0);
+    let crowding = (running + 1.0 - CROWDING_THRESHOLD * f64::from(engine.slots)).max(0.0);
+    let baseline = speed.token_time(0.0);
+    let token_time = load.map_or(baseline, |load| load.token_timing.token_time(baseline, now));
+    let stream_time = f64::from(work.expected_output()) * token_time;
     // A sum of tokens that came from whole numbers.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let kept = kept as u32;
-    let queue = (ahead + lacking) / read_rate + running * RUNNING_COST;
+    let cached_tokens = cached_tokens as u32;
+    let queue = (ahead + memory_shortfall) / prefill_rate + running * RUNNING_COST;
     Estimate {
-        wait: queue + unread / read_rate,
+        expected_wait: queue + own_prefill / prefill_rate,
         queue,
-        disturbance: READING_COST * unread / read_rate + crowding * CROWDING_COST + RUN_COST * run,
-        kept,
-        unread: ahead + unread,
+        disturbance: PREFILL_COST * own_prefill / prefill_rate
+            + crowding * CROWDING_COST
+            + STREAM_TIME_COST * stream_time,
+        cached_tokens,
+        prefill_tokens: ahead + own_prefill,
         running,
-        run,
+        stream_time,
     }
 }
 
 /// Prompt tokens that an engine is believed to keep: what this entry sent there,
 /// or what all entries send to their common choice.
-pub(super) fn kept(load: Option<&Load>, work: &Work, is_favourite: bool) -> f64 {
-    let known = f64::from(known(load, work));
-    if is_favourite {
-        known.max(expected(work.shared_parts()))
+pub(super) fn expected_cached(load: Option<&Load>, work: &Work, is_preferred: bool) -> f64 {
+    let known = f64::from(known_cached(load, work));
+    if is_preferred {
+        known.max(expected_shared(work.shared_parts()))
     } else {
         known
     }
 }
 
 /// Prompt tokens that an engine keeps since this entry sent them there.
-pub(super) fn known(load: Option<&Load>, work: &Work) -> u32 {
-    load.map_or(0, |load| load.prefix.kept(&work.parts))
+pub(super) fn known_cached(load: Option<&Load>, work: &Work) -> u32 {
+    load.map_or(0, |load| load.prefix_cache.cached_tokens(&work.parts))
 }
 
 /// Prompt tokens of parts that the entries' common choice for them is believed to keep.
-pub(super) fn expected(parts: &[Part]) -> f64 {
+pub(super) fn expected_shared(parts: &[Part]) -> f64 {
     let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
-    EXPECTED_KEPT * f64::from(tokens)
+    EXPECTED_CACHED_SHARE * f64::from(tokens)
 }
--- a/crates/core/src/relay/engine/source.rs
+++ b/crates/core/src/relay/engine/source.rs
@@ -15,23 +15,23 @@
 /// Fewer prompt tokens than this are read again: a transfer takes some 3 ms before it
 /// begins, in which an engine reads about as much. Tokens read again, one play each of six
 /// days of 80 entries: 13.4 M with 500, 12.4 M with 200.
-const LEAST_TOKENS: f64 = 200.0;
+const MIN_TRANSFER_TOKENS: f64 = 200.0;
 
 /// An engine that keeps parts of a prompt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Source<'e> {
+pub(super) struct PrefixSource<'e> {
     /// The engine.
     pub engine: &'e Endpoint,
     /// Tokens at the beginning of the prompt that it is believed to keep.
-    pub kept: f64,
+    pub cached: f64,
 }
 
-impl Source<'_> {
+impl PrefixSource<'_> {
     /// Whether another engine, which is known to keep so many tokens itself, takes from it.
     ///
     /// What is only expected there does not count: the first request of a subject at an
     /// engine finds less, and an engine that has all takes nothing.
     pub fn serves(&self, known: u32) -> bool {
-        self.kept >= f64::from(known) + LEAST_TOKENS
+        self.cached >= f64::from(known) + MIN_TRANSFER_TOKENS
     }
 }
--- a/crates/core/src/relay/engine/part.rs
+++ b/crates/core/src/relay/engine/subset.rs
@@ -8,82 +8,85 @@
 //! entries that see the demand differently still use the same ones.
 
 use crate::clock::Millis;
-use crate::relay::Ask;
-use crate::relay::engine::Loads;
+use crate::relay::RequestProfile;
+use crate::relay::engine::LoadBalancer;
 use crate::relay::roster::Endpoint;
 use crate::relay::tidings;
 
 /// A smaller service uses all its engines: bursts begin before demand is known.
-const LEAST: usize = 256;
+const MIN_ENGINES: usize = 256;
 /// How many times as many engines as are needed at ease are in use, at least: a third may be
 /// lost while demand doubles.
-const ROOM: f64 = 3.0;
+const HEADROOM: f64 = 3.0;
 /// For how long demand must be low before fewer engines are used: bursts come in series.
-const MEMORY: Millis = Millis(30_000);
+const SHRINK_DELAY: Millis = Millis(30_000);
 
 /// How many engines of a service are in use.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Part {
+pub(super) struct ActiveSubset {
     count: usize,
     /// When half as many were too few last.
-    full: Millis,
+    last_needed: Millis,
 }
 
-impl Part {
+impl ActiveSubset {
     /// As few as there ever are, from this moment on.
     pub fn new(now: Millis) -> Self {
         Self {
-            count: LEAST,
-            full: now,
+            count: MIN_ENGINES,
+            last_needed: now,
         }
     }
 
     /// Takes in how many engines are needed at ease; gives back how many are in use.
-    pub fn settle(&mut self, needed: f64, now: Millis) -> usize {
-        let wanted = needed * ROOM;
-        while self.count as f64 <= wanted {
+    pub fn resize(&mut self, needed: f64, now: Millis) -> usize {
+        let target = needed * HEADROOM;
+        while self.count as f64 <= target {
             self.count *= 2;
         }
-        if self.count as f64 <= wanted * 2.0 {
-            self.full = now;
+        if self.count as f64 <= target * 2.0 {
+            self.last_needed = now;
         }
-        if self.count > LEAST && now - self.full >= MEMORY {
+        if self.count > MIN_ENGINES && now - self.last_needed >= SHRINK_DELAY {
             self.count /= 2;
-            self.full = now;
+            self.last_needed = now;
         }
         self.count
     }
 }
 
-impl Loads {
+impl LoadBalancer {
     /// The engines that are in use among those of a service that may be; all endpoints of a
     /// plain service, of which it is not known what it needs. So many entries share the demand.
-    pub fn in_use<'e>(
+    pub fn active_subset<'e>(
         &mut self,
         endpoints: Vec<&'e Endpoint>,
-        ask: &Ask<'_>,
+        profile: &RequestProfile<'_>,
         entries: usize,
         now: Millis,
     ) -> Vec<&'e Endpoint> {
-        let Some(first) = endpoints.first().filter(|_| endpoints.len() > LEAST) else {
+        let Some(first) = endpoints.first().filter(|_| endpoints.len() > MIN_ENGINES) else {
             return endpoints;
         };
-        if ask.engine.is_none() {
+        if profile.engine.is_none() {
             return endpoints;
         }
         let service = first.service.clone();
         let needed = self.engines_needed(&service, entries, now);
-        let part = self.parts.entry(service).or_insert_with(|| Part::new(now));
-        let count = part.settle(needed, now);
+        let subset = self
+            .subsets
+            .entry(service)
+            .or_insert_with(|| ActiveSubset::new(now));
+        let count = subset.resize(needed, now);
         if count >= endpoints.len() {
             return endpoints;
         }
-        let placed = endpoints.into_iter();
-        let mut placed: Vec<_> = placed
+        let ordered = endpoints.into_iter();
+        let mut ordered: Vec<_> = ordered
             .map(|it| (tidings::life_hash(&it.life), it))
             .collect();
-        placed.select_nth_unstable_by_key(count, |(place, _)| *place);
-        placed.truncate(count);
-        placed.into_iter().map(|(_, engine)| engine).collect()
+        ordered.select_nth_unstable_by_key(count, |(position, _)| *position);
+        ordered.truncate(count);
+        ordered.into_iter().map(|(_, engine)| engine).collect()
     }
 }
--- a/crates/core/src/relay/engine/beat.rs
+++ b/crates/core/src/relay/engine/token_timing.rs
@@ -13,69 +13,69 @@
 const WINDOW: Millis = Millis(500);
 /// So many pauses are needed for a judgement: a few events of several streams. More
 /// than the most are not kept.
-const LEAST: usize = 12;
-const MOST: usize = 64;
+const MIN_GAPS: usize = 12;
+const MAX_GAPS: usize = 64;
 /// The weight of one judgement: about the last three count.
 const WEIGHT: f64 = 0.3;
 /// The span in which a figure comes nearer to what is usual, to a third, in ms, while
 /// no stream tells of it: what kept requests away must not outlive its cause.
 const SPAN: f64 = 3_000.0;
 /// How long a figure is told to others after it was seen, in ms.
-const TOLD_LIFE: Millis = Millis(1_000);
+const GOSSIP_LIFETIME: Millis = Millis(1_000);
 
 /// What is learnt of one engine.
 #[derive(Debug, Default)]
-pub(super) struct Beat {
-    began: Millis,
+pub(super) struct TokenTiming {
+    window_start: Millis,
     /// Pauses of the window, in ms.
-    pauses: Vec<f64>,
+    gaps: Vec<f64>,
     /// The mean time of a token of late, in ms, and when it was judged.
     token_time: Option<(f64, Millis)>,
 }
 
-impl Beat {
+impl TokenTiming {
     /// How long a token takes there now, in ms; `usual` where it was not seen of late.
-    pub fn token_time(&self, usual: f64, now: Millis) -> f64 {
+    pub fn token_time(&self, baseline: f64, now: Millis) -> f64 {
         let Some((time, at)) = self.token_time else {
-            return usual;
+            return baseline;
         };
         let age = (now - at).0 as f64;
-        usual + (time - usual) * (-age / SPAN).exp()
+        baseline + (time - baseline) * (-age / SPAN).exp()
     }
 
     /// The same for others, in ms, if it was seen of late.
-    pub fn seen(&self, now: Millis) -> Option<f64> {
+    pub fn recent(&self, now: Millis) -> Option<f64> {
         let (time, at) = self.token_time?;
-        (now - at < TOLD_LIFE).then_some(time)
+        (now - at < GOSSIP_LIFETIME).then_some(time)
     }
 
     /// Takes how long tokens take, in ms, as it was judged here or by another entry.
-    pub fn learn(&mut self, time: f64, now: Millis) {
+    pub fn record(&mut self, time: f64, now: Millis) {
         let before = self.token_time(time, now);
         self.token_time = Some((before + WEIGHT * (time - before), now));
     }
 
     /// Takes a pause between two events. Gives back the pauses of a window that is over,
-    /// in ms, for [`Beat::judge`].
-    pub fn pause(&mut self, pause: Millis, now: Millis) -> Option<Vec<f64>> {
-        let is_over = now - self.began > WINDOW && self.pauses.len() >= LEAST;
+    /// in ms, for [`TokenTiming::evaluate`].
+    pub fn record_gap(&mut self, gap: Millis, now: Millis) -> Option<Vec<f64>> {
+        let is_over = now - self.window_start > WINDOW && self.gaps.len() >= MIN_GAPS;
         let window = is_over.then(|| {
-            self.began = now;
-            std::mem::take(&mut self.pauses)
+            self.window_start = now;
+            std::mem::take(&mut self.gaps)
         });
-        if self.pauses.len() < MOST {
-            self.pauses.push(pause.0 as f64);
+        if self.gaps.len() < MAX_GAPS {
+            self.gaps.push(gap.0 as f64);
         }
         window
     }
 
     /// Learns from the pauses of a window between events of so many tokens. Gives back
     /// the median time of a token in it, in ms.
-    pub fn judge(&mut self, mut window: Vec<f64>, tokens: u32, now: Millis) -> f64 {
+    pub fn evaluate(&mut self, mut window: Vec<f64>, tokens: u32, now: Millis) -> f64 {
         let count = window.len();
         let tokens = f64::from(tokens.max(1));
         let mean = window.iter().sum::<f64>() / count as f64;
-        self.learn(mean / tokens, now);
+        self.record(mean / tokens, now);
         window.sort_by(f64::total_cmp);
         window[count / 2] / tokens
     }
--- a/crates/core/src/relay/pace.rs
+++ b/crates/core/src/relay/engine_speed.rs
@@ -13,23 +13,23 @@
 
 /// Prompt tokens that an engine reads in a ms, before any was seen to: between those
 /// of large models (some tens) and of small ones (some hundreds).
-const FIRST_READ_RATE: f64 = 50.0;
+const DEFAULT_PREFILL_RATE: f64 = 50.0;
 /// How long an engine takes for a token of a stream, in ms, before any was seen.
-const FIRST_TOKEN_TIME: f64 = 6.0;
+const DEFAULT_TOKEN_TIME: f64 = 6.0;
 /// Running requests are counted in groups of so many: steps take longer the more
 /// there are, by about a hundredth of a step each.
-const GROUP: f64 = 16.0;
+const GROUP_SIZE: f64 = 16.0;
 /// How many groups are told apart; the last one holds all above.
 const GROUPS: usize = 5;
 /// By which part of itself a median moves with each sample. A change by half takes
 /// some twenty samples, the error that stays is below a twentieth.
 const STEP: f64 = 0.04;
 /// From so many samples on, a median is better than what others tell.
-const ENOUGH: u32 = 20;
+const MIN_SAMPLES: u32 = 20;
 /// Bounds of what is learnt, in tokens per ms, and ms per token: beyond them lies no
 /// engine that was heard of, only errors of measurement.
-const READ_RATES: (f64, f64) = (1.0, 2_000.0);
-const TOKEN_TIMES: (f64, f64) = (0.1, 500.0);
+const PREFILL_RATE_RANGE: (f64, f64) = (1.0, 2_000.0);
+const TOKEN_TIME_RANGE: (f64, f64) = (0.1, 500.0);
 
 /// A median that follows its samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -44,7 +44,7 @@
         (self.samples > 0).then_some(self.value)
     }
 
-    fn learn(&mut self, sample: f64) {
+    fn record(&mut self, sample: f64) {
         // The first samples count for more: each is a part of all so far.
         let step = STEP.max(1.0 / f64::from(self.samples + 1));
         self.value = if self.samples == 0 {
@@ -58,16 +58,16 @@
     }
 
     /// Takes another entry's figure for want of enough samples.
-    fn told(&mut self, value: f64) {
-        if self.samples < ENOUGH {
+    fn adopt(&mut self, value: f64) {
+        if self.samples < MIN_SAMPLES {
             self.value = value;
-            self.samples = ENOUGH / 2;
+            self.samples = MIN_SAMPLES / 2;
         }
     }
 
     /// What others are told, once enough is known.
-    fn tell(self) -> f32 {
-        if self.samples < ENOUGH {
+    fn report(self) -> f32 {
+        if self.samples < MIN_SAMPLES {
             return 0.0;
         }
         // Seven digits are more than is known.
@@ -80,31 +80,31 @@
 /// What is learnt of the engines of one service.
 ///
 /// ```
-/// use woodgap_core::relay::pace::Pace;
+/// use woodgap_core::relay::engine_speed::EngineSpeed;
 ///
-/// let mut pace = Pace::default();
+/// let mut speed = EngineSpeed::default();
 /// for _ in 0..100 {
-///     pace.read(4_000.0, 200.0);
+///     speed.record_prefill(4_000.0, 200.0);
 /// }
-/// assert!((pace.read_rate() - 20.0).abs() < 1.0);
+/// assert!((speed.prefill_rate() - 20.0).abs() < 1.0);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Pace {
-    read_rate: Median,
+pub struct EngineSpeed {
+    prefill_rate: Median,
     token_times: [Median; GROUPS],
 }
 
 /// What an entry tells others of a service's engines: 0 where nothing is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    read_rate: f32,
+pub struct SpeedReport {
+    prefill_rate: f32,
     token_times: [f32; GROUPS],
 }
 
-impl Pace {
+impl EngineSpeed {
     /// Prompt tokens that an engine reads in a ms.
-    pub fn read_rate(&self) -> f64 {
-        self.read_rate.get().unwrap_or(FIRST_READ_RATE)
+    pub fn prefill_rate(&self) -> f64 {
+        self.prefill_rate.get().unwrap_or(DEFAULT_PREFILL_RATE)
     }
 
     /// How long a token takes, in ms, beside so many running requests and without a
@@ -112,35 +112,36 @@
     pub fn token_time(&self, running: f64) -> f64 {
         let known = self.token_times[..=group(running)].iter().rev();
         let mut known = known.chain(&self.token_times);
-        known.find_map(|it| it.get()).unwrap_or(FIRST_TOKEN_TIME)
+        known.find_map(|it| it.get()).unwrap_or(DEFAULT_TOKEN_TIME)
     }
 
     /// Learns that so many tokens, as far as was known, were read in so many ms.
-    pub fn read(&mut self, tokens: f64, took: f64) {
+    pub fn record_prefill(&mut self, tokens: f64, took: f64) {
         let rate = tokens / took.max(1.0);
-        self.read_rate.learn(rate.clamp(READ_RATES.0, READ_RATES.1));
+        self.prefill_rate
+            .record(rate.clamp(PREFILL_RATE_RANGE.0, PREFILL_RATE_RANGE.1));
     }
 
     /// Learns that a token took so many ms beside so many running requests.
-    pub fn token(&mut self, running: f64, took: f64) {
-        let took = took.clamp(TOKEN_TIMES.0, TOKEN_TIMES.1);
-        self.token_times[group(running)].learn(took);
+    pub fn record_token(&mut self, running: f64, took: f64) {
+        let took = took.clamp(TOKEN_TIME_RANGE.0, TOKEN_TIME_RANGE.1);
+        self.token_times[group(running)].record(took);
     }
 
     /// What is known, for other entries.
-    pub fn tell(&self) -> Told {
-        Told {
-            read_rate: self.read_rate.tell(),
-            token_times: self.token_times.map(Median::tell),
+    pub fn report(&self) -> SpeedReport {
+        SpeedReport {
+            prefill_rate: self.prefill_rate.report(),
+            token_times: self.token_times.map(Median::report),
         }
     }
 
     /// Takes what another entry tells where little is known yet: after a start.
-    pub fn told(&mut self, told: &Told) {
-        let own = self.token_times.iter_mut().chain([&mut self.read_rate]);
-        let theirs = told.token_times.iter().chain([&told.read_rate]);
+    pub fn adopt(&mut self, reported: &SpeedReport) {
+        let own = self.token_times.iter_mut().chain([&mut self.prefill_rate]);
+        let theirs = reported.token_times.iter().chain([&reported.prefill_rate]);
         for (own, theirs) in own.zip(theirs).filter(|(_, theirs)| **theirs > 0.0) {
-            own.told(f64::from(*theirs));
+            own.adopt(f64::from(*theirs));
         }
     }
 }
@@ -148,6 +149,6 @@
 fn group(running: f64) -> usize {
     // A count of requests.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let group = (running / GROUP) as usize;
+    let group = (running / GROUP_SIZE) as usize;
     group.min(GROUPS - 1)
 }
--- a/crates/core/src/relay/fading.rs
+++ b/crates/core/src/relay/fading.rs
@@ -6,27 +6,27 @@
 use crate::clock::Millis;
 
 /// The weight of one sample: about the last ten count.
-const WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// The span in which a figure without samples comes nearer to its usual value, to a
 /// third of the distance, in ms: many times the pause between two samples of one
 /// endpoint at one entry (about a second in use), else it would never learn enough.
-const SPAN: f64 = 20_000.0;
+const DECAY_MS: f64 = 20_000.0;
 
 /// The figure.
 #[derive(Clone, Copy, Debug)]
-pub struct Fading {
-    usual: f64,
+pub struct DecayingAverage {
+    baseline: f64,
     value: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Fading {
+impl DecayingAverage {
     /// A figure without samples.
-    pub fn new(usual: f64) -> Self {
+    pub fn new(baseline: f64) -> Self {
         Self {
-            usual,
-            value: usual,
-            at: Millis::ZERO,
+            baseline,
+            value: baseline,
+            updated_at: Millis::ZERO,
         }
     }
 
@@ -34,22 +34,22 @@
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::fading::Fading;
+    /// use woodgap_core::relay::fading::DecayingAverage;
     ///
-    /// let mut time = Fading::new(20.0);
-    /// time.learn(1_020.0, Millis(0));
-    /// assert_eq!(time.now(Millis(0)), 120.0);
-    /// assert!(time.now(Millis(120_000)) < 21.0);
+    /// let mut time = DecayingAverage::new(20.0);
+    /// time.record(1_020.0, Millis(0));
+    /// assert_eq!(time.value_at(Millis(0)), 120.0);
+    /// assert!(time.value_at(Millis(120_000)) < 21.0);
     /// ```
-    pub fn now(&self, now: Millis) -> f64 {
-        let age = (now - self.at).0 as f64;
-        self.usual + (self.value - self.usual) * (-age / SPAN).exp()
+    pub fn value_at(&self, now: Millis) -> f64 {
+        let age = (now - self.updated_at).0 as f64;
+        self.baseline + (self.value - self.baseline) * (-age / DECAY_MS).exp()
     }
 
     /// Takes a sample.
-    pub fn learn(&mut self, sample: f64, now: Millis) {
-        let before = self.now(now);
-        self.value = before + WEIGHT * (sample - before);
-        self.at = now;
+    pub fn record(&mut self, sample: f64, now: Millis) {
+        let before = self.value_at(now);
+        self.value = before + SAMPLE_WEIGHT * (sample - before);
+        self.updated_at = now;
     }
 }
--- a/crates/core/src/relay/lateness.rs
+++ b/crates/core/src/relay/lateness.rs
@@ -12,18 +12,18 @@
 
 /// So many streams without lateness are added to those seen: one late stream among a
 /// few moves nothing.
-const DOUBT: f32 = 10.0;
+const PRIOR_ON_TIME: f32 = 10.0;
 /// How much more engines a sort gets, as a logarithm, if all of its streams are late
 /// and none of the other's.
 const GAIN: f32 = 3.0;
 /// The most that the division moves either way, as a logarithm: by half.
-const MOST: f32 = 0.7;
+const MAX_LOG_WEIGHT: f32 = 0.7;
 
 /// Streams of one sort.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Count {
+pub struct StreamCount {
     /// Those that ended.
-    pub all: f32,
+    pub total: f32,
     /// Of them, those that were late, or turned away because they would have been.
     pub late: f32,
 }
@@ -32,54 +32,54 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lateness {
     /// Those whose events must come in quick succession.
-    pub steady: Count,
+    pub decode_heavy: StreamCount,
     /// Those that mostly read prompts.
-    pub reading: Count,
+    pub prefill_heavy: StreamCount,
 }
 
-impl Count {
+impl StreamCount {
     fn add(&mut self, other: Self) {
-        self.all += other.all;
+        self.total += other.total;
         self.late += other.late;
     }
 
-    fn fade(&mut self, left: f32) {
-        self.all *= left;
-        self.late *= left;
+    fn decay(&mut self, factor: f32) {
+        self.total *= factor;
+        self.late *= factor;
     }
 
-    fn part(self) -> f32 {
-        self.late / (self.all + DOUBT)
+    fn late_ratio(self) -> f32 {
+        self.late / (self.total + PRIOR_ON_TIME)
     }
 }
 
 impl Lateness {
     /// Counts a stream.
-    pub fn count(&mut self, is_steady: bool, is_late: bool) {
-        let count = if is_steady {
-            &mut self.steady
+    pub fn record(&mut self, is_decode_heavy: bool, is_late: bool) {
+        let count = if is_decode_heavy {
+            &mut self.decode_heavy
         } else {
-            &mut self.reading
+            &mut self.prefill_heavy
         };
-        count.add(Count {
-            all: 1.0,
+        count.add(StreamCount {
+            total: 1.0,
             late: if is_late { 1.0 } else { 0.0 },
         });
     }
 
     /// Adds what others counted.
     pub fn add(&mut self, other: &Self) {
-        self.steady.add(other.steady);
-        self.reading.add(other.reading);
+        self.decode_heavy.add(other.decode_heavy);
+        self.prefill_heavy.add(other.prefill_heavy);
     }
 
     /// Leaves this part of what was counted.
-    pub fn fade(&mut self, left: f64) {
+    pub fn decay(&mut self, factor: f64) {
         // A part of one.
         #[allow(clippy::cast_possible_truncation)]
-        let left = left as f32;
-        self.steady.fade(left);
-        self.reading.fade(left);
+        let factor = factor as f32;
+        self.decode_heavy.decay(factor);
+        self.prefill_heavy.decay(factor);
     }
 
     /// How many times as many engines steady streams get as they seem to need.
@@ -88,12 +88,12 @@
     /// use woodgap_core::relay::lateness::Lateness;
     ///
     /// let mut lateness = Lateness::default();
-    /// assert_eq!(lateness.favour_steady(), 1.0);
-    /// (0..20).for_each(|at| lateness.count(true, at % 2 == 0));
-    /// assert!(lateness.favour_steady() > 1.5);
+    /// assert_eq!(lateness.decode_weight(), 1.0);
+    /// (0..20).for_each(|at| lateness.record(true, at % 2 == 0));
+    /// assert!(lateness.decode_weight() > 1.5);
     /// ```
-    pub fn favour_steady(&self) -> f64 {
-        let difference = self.steady.part() - self.reading.part();
-        f64::from((GAIN * difference).clamp(-MOST, MOST)).exp()
+    pub fn decode_weight(&self) -> f64 {
+        let difference = self.decode_heavy.late_ratio() - self.prefill_heavy.late_ratio();
+        f64::from((GAIN * difference).clamp(-MAX_LOG_WEIGHT, MAX_LOG_WEIGHT)).exp()
     }
 }
--- a/crates/core/src/relay/prefix.rs
+++ b/crates/core/src/relay/prefix.rs
@@ -10,25 +10,25 @@
 
 /// The parts believed to be kept by one engine, bounded by its memory.
 #[derive(Debug)]
-pub struct Prefix {
-    chains: HashMap<u64, Kept>,
+pub struct PrefixCache {
+    cached_parts: HashMap<u64, CachedPart>,
     tokens: u64,
-    most_tokens: u64,
+    capacity_tokens: u64,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u32,
-    used: Millis,
+    last_used: Millis,
 }
 
-impl Prefix {
+impl PrefixCache {
     /// Nothing is kept yet; `most_tokens` is the engine's memory.
-    pub fn new(most_tokens: u32) -> Self {
+    pub fn new(capacity_tokens: u32) -> Self {
         Self {
-            chains: HashMap::new(),
+            cached_parts: HashMap::new(),
             tokens: 0,
-            most_tokens: u64::from(most_tokens),
+            capacity_tokens: u64::from(capacity_tokens),
         }
     }
 
@@ -36,65 +36,65 @@
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::prefix::Prefix;
+    /// use woodgap_core::relay::prefix::PrefixCache;
     /// use woodgap_core::relay::work::Part;
     ///
     /// let shared = Part { id: 1, tokens: 800 };
     /// let own = Part { id: 2, tokens: 100 };
-    /// let mut prefix = Prefix::new(10_000);
-    /// prefix.touch(&[shared, own], Millis(0));
-    /// assert_eq!(prefix.kept(&[shared, Part { id: 3, tokens: 50 }]), 800);
-    /// assert_eq!(prefix.kept(&[own, shared]), 0);
+    /// let mut prefix = PrefixCache::new(10_000);
+    /// prefix.record(&[shared, own], Millis(0));
+    /// assert_eq!(prefix.cached_tokens(&[shared, Part { id: 3, tokens: 50 }]), 800);
+    /// assert_eq!(prefix.cached_tokens(&[own, shared]), 0);
     /// ```
-    pub fn kept(&self, parts: &[Part]) -> u32 {
-        let known = chains(parts).zip(parts);
-        let known = known.take_while(|(chain, _)| self.chains.contains_key(chain));
-        known.map(|(_, part)| part.tokens).sum()
+    pub fn cached_tokens(&self, parts: &[Part]) -> u32 {
+        let hits = prefix_hashes(parts).zip(parts);
+        let hits = hits.take_while(|(hash, _)| self.cached_parts.contains_key(hash));
+        hits.map(|(_, part)| part.tokens).sum()
     }
 
     /// Notes that the engine has read a prompt.
-    pub fn touch(&mut self, parts: &[Part], now: Millis) {
-        for (chain, part) in chains(parts).zip(parts) {
-            let kept = self.chains.entry(chain).or_insert_with(|| {
+    pub fn record(&mut self, parts: &[Part], now: Millis) {
+        for (hash, part) in prefix_hashes(parts).zip(parts) {
+            let cached = self.cached_parts.entry(hash).or_insert_with(|| {
                 self.tokens += u64::from(part.tokens);
-                Kept {
+                CachedPart {
                     tokens: part.tokens,
-                    used: now,
+                    last_used: now,
                 }
             });
-            kept.used = now;
+            cached.last_used = now;
         }
-        while self.tokens > self.most_tokens {
-            self.drop_oldest();
+        while self.tokens > self.capacity_tokens {
+            self.evict_least_recently_used();
         }
     }
 
     /// Forgets all, since the engine has started anew.
     pub fn clear(&mut self) {
-        self.chains.clear();
+        self.cached_parts.clear();
         self.tokens = 0;
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_least_recently_used(&mut self) {
         let oldest = self
-            .chains
+            .cached_parts
             .iter()
-            .min_by_key(|(chain, kept)| (kept.used, **chain));
-        let Some(chain) = oldest.map(|(chain, _)| *chain) else {
+            .min_by_key(|(hash, cached)| (cached.last_used, **hash));
+        let Some(hash) = oldest.map(|(hash, _)| *hash) else {
             self.tokens = 0;
             return;
         };
-        if let Some(kept) = self.chains.remove(&chain) {
-            self.tokens -= u64::from(kept.tokens);
+        if let Some(cached) = self.cached_parts.remove(&hash) {
+            self.tokens -= u64::from(cached.tokens);
         }
     }
 }
 
 /// The chains that end with each part of a prompt.
-pub fn chains(parts: &[Part]) -> impl Iterator<Item = u64> {
-    parts.iter().scan(0, |chain, part| {
-        *chain = mix(*chain, part.id);
-        Some(*chain)
+pub fn prefix_hashes(parts: &[Part]) -> impl Iterator<Item = u64> {
+    parts.iter().scan(0, |hash, part| {
+        *hash = mix(*hash, part.id);
+        Some(*hash)
     })
 }
 
--- a/crates/core/src/relay/ask.rs
+++ b/crates/core/src/relay/profile.rs
@@ -6,7 +6,7 @@
 
 /// What is to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct RequestProfile<'a> {
     /// What it asks of a model engine; none for a plain service.
     pub work: Option<&'a relay::Work>,
     /// The engines of the service; none for a plain service.
--- a/crates/core/src/relay/rest.rs
+++ b/crates/core/src/relay/rest.rs
@@ -13,96 +13,107 @@
 
 /// A connection that ends so soon after something was sent on it had been forgotten:
 /// some round trips within a region. Later, the endpoint had begun to work.
-const QUICK: Millis = Millis(50);
+const MAX_RESET_DELAY: Millis = Millis(50);
 /// Connections that rested for less are not forgotten; they were lost otherwise.
-const SHORTEST: Millis = Millis(100);
+const MIN_IDLE: Millis = Millis(100);
 /// The part of the rest of a lost connection for which others may rest.
 const PART: u64 = 2;
 /// For how long a loss counts: endpoints may be set otherwise by then.
-const REMEMBERED: Millis = Millis(15_000);
+const OBSERVATION_LIFETIME: Millis = Millis(15_000);
 
 /// What one entry has found out and tells the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct IdleLimit {
     /// Which service: the [`tidings::key`] of its name.
     pub service: u32,
     /// The longest rest.
-    pub most: Millis,
+    pub max_idle: Millis,
 }
 
 /// How long connections may rest, by service.
 #[derive(Debug, Default)]
-pub struct Rests {
-    own: HashMap<u32, Found>,
-    told: HashMap<u32, Found>,
+pub struct IdleLimits {
+    own: HashMap<u32, Observation>,
+    received: HashMap<u32, Observation>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Found {
-    most: Millis,
-    at: Millis,
+struct Observation {
+    max_idle: Millis,
+    observed_at: Millis,
 }
 
-impl Found {
+impl Observation {
     fn is_fresh(&self, now: Millis) -> bool {
-        now - self.at < REMEMBERED
+        now - self.observed_at < OBSERVATION_LIFETIME
     }
 }
 
-impl Rests {
+impl IdleLimits {
     /// Takes in that a connection which had rested for a while ended so long after
     /// something was sent on it, without an answer.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::rest::Rests;
+    /// use woodgap_core::relay::rest::IdleLimits;
     ///
-    /// let mut rests = Rests::default();
-    /// rests.lost("links", Millis(900), Millis(2), Millis(0));
-    /// assert_eq!(rests.most("links", Millis(1)), Some(Millis(450)));
-    /// assert_eq!(rests.most("engines", Millis(1)), None);
+    /// let mut limits = IdleLimits::default();
+    /// limits.record_loss("links", Millis(900), Millis(2), Millis(0));
+    /// assert_eq!(limits.max_idle("links", Millis(1)), Some(Millis(450)));
+    /// assert_eq!(limits.max_idle("engines", Millis(1)), None);
     /// // Endpoints may be set otherwise after a while.
-    /// assert_eq!(rests.most("links", Millis(60_000)), None);
+    /// assert_eq!(limits.max_idle("links", Millis(60_000)), None);
     /// ```
-    pub fn lost(&mut self, service: &str, rested: Millis, took: Millis, now: Millis) {
-        if rested < SHORTEST || took > QUICK {
+    pub fn record_loss(&mut self, service: &str, idle: Millis, took: Millis, now: Millis) {
+        if idle < MIN_IDLE || took > MAX_RESET_DELAY {
             return;
         }
-        let most = Millis(rested.0 / PART);
-        note(&mut self.own, tidings::key(service), most, now);
+        let max_idle = Millis(idle.0 / PART);
+        record(&mut self.own, tidings::key(service), max_idle, now);
     }
 
     /// The longest time for which connections to a service may rest; none where
     /// nothing speaks against a long one.
-    pub fn most(&self, service: &str, now: Millis) -> Option<Millis> {
+    pub fn max_idle(&self, service: &str, now: Millis) -> Option<Millis> {
         let key = tidings::key(service);
-        let found = [self.own.get(&key), self.told.get(&key)];
-        let found = found.into_iter().flatten();
-        let fresh = found.filter(|found| found.is_fresh(now));
-        fresh.map(|found| found.most).min()
+        let observations = [self.own.get(&key), self.received.get(&key)];
+        let observations = observations.into_iter().flatten();
+        let fresh = observations.filter(|observation| observation.is_fresh(now));
+        fresh.map(|observation| observation.max_idle).min()
     }
 
     /// What this entry has found out itself, for the others.
-    pub fn tell(&self, now: Millis) -> Vec<Told> {
-        let fresh = self.own.iter().filter(|(_, found)| found.is_fresh(now));
-        let told = fresh.map(|(service, found)| Told {
+    pub fn report(&self, now: Millis) -> Vec<IdleLimit> {
+        let fresh = self
+            .own
+            .iter()
+            .filter(|(_, observation)| observation.is_fresh(now));
+        let reported = fresh.map(|(service, observation)| IdleLimit {
             service: *service,
-            most: found.most,
+            max_idle: observation.max_idle,
         });
-        told.collect()
+        reported.collect()
     }
 
     /// Takes what another entry tells.
-    pub fn told(&mut self, told: &[Told], now: Millis) {
-        for told in told {
-            note(&mut self.told, told.service, told.most, now);
+    pub fn merge(&mut self, reported: &[IdleLimit], now: Millis) {
+        for limit in reported {
+            record(&mut self.received, limit.service, limit.max_idle, now);
         }
     }
 }
 
 /// The shorter of two rests counts, as long as it is fresh.
-fn note(all: &mut HashMap<u32, Found>, service: u32, most: Millis, now: Millis) {
-    let before = all.get(&service).filter(|found| found.is_fresh(now));
-    let most = before.map_or(most, |before| before.most.min(most));
-    all.insert(service, Found { most, at: now });
+fn record(all: &mut HashMap<u32, Observation>, service: u32, max_idle: Millis, now: Millis) {
+    let before = all
+        .get(&service)
+        .filter(|observation| observation.is_fresh(now));
+    let max_idle = before.map_or(max_idle, |before| before.max_idle.min(max_idle));
+    all.insert(
+        service,
+        Observation {
+            max_idle,
+            observed_at: now,
+        },
+    );
 }
--- a/crates/core/src/relay/tidings.rs
+++ b/crates/core/src/relay/tidings.rs
@@ -6,8 +6,8 @@
 
 use crate::clock::Millis;
 use crate::name;
+use crate::relay::engine_speed;
 use crate::relay::lateness::Lateness;
-use crate::relay::pace;
 use crate::relay::prefix;
 
 /// After so long the share of another entry counts for nothing: it may be gone.
@@ -48,7 +48,7 @@
     /// What it asks of engines.
     pub needed: Needed,
     /// How fast the entry has found them to be.
-    pub pace: pace::Told,
+    pub pace: engine_speed::SpeedReport,
 }
 
 /// What an entry tells the others of its load.
--- a/crates/core/src/relay/work.rs
+++ b/crates/core/src/relay/work.rs
@@ -31,7 +31,7 @@
     }
 
     /// How many tokens are expected to come out.
-    pub fn output(&self) -> u32 {
+    pub fn expected_output(&self) -> u32 {
         let limit = self.output_limit;
         self.output_hint.map_or(limit, |hint| hint.min(limit))
     }
--- a/crates/core/tests/relay/admission.rs
+++ b/crates/core/tests/relay/admission.rs
@@ -1,56 +1,56 @@
 //! Whether a request is taken or turned away.
 
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::admission::{Claim, Verdict, decide};
+use woodgap_core::relay::admission::{Decision, LatencyRequirement, decide};
 use woodgap_core::relay::work::{Part, Work};
 
-use crate::engine::{Entry, PLAIN, ask, caption};
+use crate::engine::{Entry, PLAIN, caption, profile};
 
-const STREAM: Claim = Claim {
+const STREAM: LatencyRequirement = LatencyRequirement {
     is_stream: true,
     target: Millis(600),
-    left: Millis(6_000),
+    remaining: Millis(6_000),
 };
 
 /// A burst of long prompts, all in one moment: as many are taken as one engine can
 /// begin to answer at about the target, not as many as fit into the time that callers
 /// wait (with those, all answers after the first few were late).
 #[test]
-fn a_burst_is_taken_as_far_as_it_can_be_answered_on_time() {
+fn a_burst_is_admitted_up_to_what_can_be_answered_on_time() {
     let mut entry = Entry::new(1);
-    let mut taken = 0;
+    let mut admitted = 0;
     for own in 0..50 {
         let work = caption(own, 100 + own);
-        let choice = entry.choose(&ask(&work), 0).expect("an engine is open");
-        if decide(&choice, STREAM, 0.5) == Verdict::Take {
-            entry.send(&ask(&work), 0);
-            taken += 1;
+        let choice = entry.choose(&profile(&work), 0).expect("an engine is open");
+        if decide(&choice, STREAM, 0.5) == Decision::Admit {
+            entry.send(&profile(&work), 0);
+            admitted += 1;
         }
     }
-    assert!((2..=13).contains(&taken), "{taken}");
+    assert!((2..=13).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn a_caller_who_is_turned_away_is_told_when_to_come_back() {
+fn a_refused_caller_gets_a_retry_delay() {
     let mut entry = Entry::new(1);
     for own in 0..20 {
-        entry.send(&ask(&caption(own, 100 + own)), 0);
+        entry.send(&profile(&caption(own, 100 + own)), 0);
     }
     let work = caption(50, 150);
-    let choice = entry.choose(&ask(&work), 0).unwrap();
-    let after = |spread| match decide(&choice, STREAM, spread) {
-        Verdict::Refuse(after) => after.0 as f64,
-        Verdict::Take => panic!("{choice:?}"),
+    let choice = entry.choose(&profile(&work), 0).unwrap();
+    let retry_after = |jitter| match decide(&choice, STREAM, jitter) {
+        Decision::Refuse(retry_after) => retry_after.0 as f64,
+        Decision::Admit => panic!("{choice:?}"),
     };
     // Not before what waits now is done, and not all at one moment.
-    assert!((after(0.0) - choice.wait).abs() < 1.0);
-    assert!((after(1.0) - 2.0 * choice.wait).abs() < 1.0);
+    assert!((retry_after(0.0) - choice.expected_wait).abs() < 1.0);
+    assert!((retry_after(1.0) - 2.0 * choice.expected_wait).abs() < 1.0);
 }
 
 /// Long prompts are turned away no sooner than short ones by what they take themselves,
 /// only by what waits before them.
 #[test]
-fn a_long_prompt_is_not_turned_away_for_its_length() {
+fn a_long_prompt_is_not_refused_for_its_own_length() {
     let mut entry = Entry::new(1);
     let long = Work {
         prompt_tokens: 60_000,
@@ -60,32 +60,32 @@
         }],
         ..caption(1, 1)
     };
-    let choice = entry.choose(&ask(&long), 0).expect("an engine is open");
-    assert!(choice.wait > 900.0, "{choice:?}");
-    entry.send(&ask(&caption(9, 99)), 0);
-    let choice = entry.choose(&ask(&long), 0).unwrap();
-    assert_eq!(decide(&choice, STREAM, 0.0), Verdict::Take, "{choice:?}");
+    let choice = entry.choose(&profile(&long), 0).expect("an engine is open");
+    assert!(choice.expected_wait > 900.0, "{choice:?}");
+    entry.send(&profile(&caption(9, 99)), 0);
+    let choice = entry.choose(&profile(&long), 0).unwrap();
+    assert_eq!(decide(&choice, STREAM, 0.0), Decision::Admit, "{choice:?}");
     for own in 0..20 {
-        entry.send(&ask(&caption(own, 100 + own)), 0);
+        entry.send(&profile(&caption(own, 100 + own)), 0);
     }
-    let choice = entry.choose(&ask(&long), 0).unwrap();
-    assert_ne!(decide(&choice, STREAM, 0.0), Verdict::Take, "{choice:?}");
+    let choice = entry.choose(&profile(&long), 0).unwrap();
+    assert_ne!(decide(&choice, STREAM, 0.0), Decision::Admit, "{choice:?}");
 }
 
 /// A late answer of a plain service is worth as much as most: a queue there turns
 /// nobody away who waits for long enough.
 #[test]
-fn requests_to_plain_services_may_be_late() {
+fn requests_to_plain_services_may_exceed_their_target() {
     let mut entry = Entry::new(1);
     for _ in 0..600 {
         entry.send(&PLAIN, 0);
     }
     let choice = entry.choose(&PLAIN, 0).unwrap();
-    let claim = Claim {
+    let requirement = LatencyRequirement {
         is_stream: false,
         target: Millis(100),
-        left: Millis(2_500),
+        remaining: Millis(2_500),
     };
-    assert!(choice.wait > 100.0);
-    assert_eq!(decide(&choice, claim, 0.0), Verdict::Take);
+    assert!(choice.expected_wait > 100.0);
+    assert_eq!(decide(&choice, requirement, 0.0), Decision::Admit);
 }
--- a/crates/core/tests/relay/budget.rs
+++ b/crates/core/tests/relay/budget.rs
@@ -2,26 +2,28 @@
 
 use proptest::prelude::*;
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::budget::{Bound, Budget};
+use woodgap_core::relay::budget::{RetryBudget, RetryLimit};
 
-const BOUND: Bound = Bound {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 52.0,
     window: Millis(10_000),
 };
 
 #[test]
-fn requests_earn_repeats_and_old_ones_no_longer() {
-    let mut budget = Budget::new(Bound {
+fn requests_earn_retries_until_the_window_has_passed() {
+    let mut budget = RetryBudget::new(RetryLimit {
         slack: 0.0,
-        ..BOUND
+        ..LIMIT
     });
     for _ in 0..100 {
-        budget.request(Millis(0));
+        budget.record_request(Millis(0));
     }
-    let spent = (0..100).filter(|_| budget.spend(Millis(5_000), 1)).count();
+    let spent = (0..100)
+        .filter(|_| budget.try_spend(Millis(5_000), 1))
+        .count();
     assert_eq!(spent, 16);
-    assert!(!budget.spend(Millis(10_500), 1));
+    assert!(!budget.try_spend(Millis(10_500), 1));
 }
 
 proptest! {
@@ -29,19 +31,19 @@
     /// position has more repeats than the bound allows for the requests within it
     /// or within the window before.
     #[test]
-    fn every_window_is_within_the_bound(
+    fn every_window_is_within_the_limit(
         events in proptest::collection::vec((0_usize..6, 0_u64..60, 0_u32..4), 50..600),
     ) {
-        let mut budgets: Vec<Budget> = (0..6).map(|_| Budget::new(BOUND)).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let mut budgets: Vec<RetryBudget> = (0..6).map(|_| RetryBudget::new(LIMIT)).collect();
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 0;
         for (entry, pause, wanted) in events {
             now += pause;
-            budgets[entry].request(Millis(now));
+            budgets[entry].record_request(Millis(now));
             requests.push(now);
             for _ in 0..wanted {
-                if budgets[entry].spend(Millis(now), 6) {
-                    repeats.push(now);
+                if budgets[entry].try_spend(Millis(now), 6) {
+                    retries.push(now);
                 }
             }
         }
@@ -55,8 +57,8 @@
             let earned = within(&requests, from, end)
                 .max(within(&requests, before, from))
                 .max(within(&requests, half, end.saturating_sub(5_000)));
-            let most = BOUND.ratio * earned + BOUND.slack;
-            prop_assert!(within(&repeats, from, end) <= most);
+            let allowed = LIMIT.ratio * earned + LIMIT.slack;
+            prop_assert!(within(&retries, from, end) <= allowed);
         }
     }
 }
--- a/crates/core/tests/relay/engine.rs
+++ b/crates/core/tests/relay/engine.rs
@@ -3,9 +3,9 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::Ask;
-use woodgap_core::relay::engine::{Choice, Loads, Report, Ticket};
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::RequestProfile;
+use woodgap_core::relay::engine::{Choice, LoadBalancer, Report, Ticket};
+use woodgap_core::relay::health::HealthSignal;
 use woodgap_core::relay::plan::Engine;
 use woodgap_core::relay::roster::Endpoint;
 use woodgap_core::relay::work::{Part, Work};
@@ -51,15 +51,15 @@
     }
 }
 
-pub fn ask(work: &Work) -> Ask<'_> {
-    Ask {
+pub fn profile(work: &Work) -> RequestProfile<'_> {
+    RequestProfile {
         work: Some(work),
         engine: Some(ENGINE),
         gap: Some(Millis(250)),
     }
 }
 
-pub const PLAIN: Ask<'static> = Ask {
+pub const PLAIN: RequestProfile<'static> = RequestProfile {
     work: None,
     engine: None,
     gap: None,
@@ -71,7 +71,7 @@
 
 /// One entry before a few engines.
 pub struct Entry {
-    pub loads: Loads,
+    pub balancer: LoadBalancer,
     pub endpoints: Vec<Endpoint>,
     pub tickets: Vec<Ticket>,
 }
@@ -79,31 +79,31 @@
 impl Entry {
     pub fn new(count: usize) -> Self {
         Self {
-            loads: Loads::new(name::DataCentre::from("dub-a"), 1),
+            balancer: LoadBalancer::new(name::DataCentre::from("dub-a"), 1),
             endpoints: engines(count),
             tickets: Vec::new(),
         }
     }
 
-    pub fn choose(&mut self, ask: &Ask<'_>, now: u64) -> Option<Choice> {
+    pub fn choose(&mut self, profile: &RequestProfile<'_>, now: u64) -> Option<Choice> {
         let endpoints: Vec<_> = self.endpoints.iter().collect();
-        self.loads.choose(&endpoints, ask, Millis(now))
+        self.balancer.choose(&endpoints, profile, Millis(now))
     }
 
-    pub fn send(&mut self, ask: &Ask<'_>, now: u64) -> String {
-        let choice = self.choose(ask, now).expect("an endpoint is open");
-        let ticket = self.loads.begin(&choice, ask, Millis(now));
+    pub fn send(&mut self, profile: &RequestProfile<'_>, now: u64) -> String {
+        let choice = self.choose(profile, now).expect("an endpoint is open");
+        let ticket = self.balancer.begin(&choice, profile, Millis(now));
         self.tickets.push(ticket);
         choice.endpoint.life.id.to_string()
     }
 
     /// Sends a request that is answered at once and ends.
-    pub fn serve(&mut self, ask: &Ask<'_>, now: u64) -> String {
-        let name = self.send(ask, now);
+    pub fn serve(&mut self, profile: &RequestProfile<'_>, now: u64) -> String {
+        let name = self.send(profile, now);
         let ticket = self.tickets.pop().unwrap();
-        self.loads
-            .answered(&ticket, ask.work.is_none(), Millis(now));
-        self.loads.end(&ticket, Millis(now));
+        self.balancer
+            .record_first_byte(&ticket, profile.work.is_none(), Millis(now));
+        self.balancer.end(&ticket, Millis(now));
         name
     }
 }
@@ -113,45 +113,45 @@
     let chosen: Vec<_> = ["dub-a", "dub-b"]
         .map(|data_centre| {
             let mut entry = Entry::new(9);
-            entry.loads = Loads::new(name::DataCentre::from(data_centre), 2);
-            entry.send(&ask(&caption(7, 1)), 0)
+            entry.balancer = LoadBalancer::new(name::DataCentre::from(data_centre), 2);
+            entry.send(&profile(&caption(7, 1)), 0)
         })
         .to_vec();
     assert_eq!(chosen[0], chosen[1]);
 }
 
 #[test]
-fn a_prompt_goes_where_its_parts_are_kept() {
+fn a_prompt_goes_where_its_parts_are_cached() {
     let mut entry = Entry::new(9);
-    let first = entry.serve(&ask(&caption(7, 1)), 0);
+    let first = entry.serve(&profile(&caption(7, 1)), 0);
     for own in 2..6 {
-        assert_eq!(entry.serve(&ask(&caption(7, own)), 10), first);
+        assert_eq!(entry.serve(&profile(&caption(7, own)), 10), first);
     }
 }
 
 #[test]
-fn a_hot_subject_spreads_once_its_engine_is_behind() {
+fn a_popular_prefix_spreads_once_its_engine_has_a_backlog() {
     let mut entry = Entry::new(9);
     let mut used = std::collections::BTreeSet::new();
     for own in 0..40 {
-        used.insert(entry.send(&ask(&caption(7, own)), 0));
+        used.insert(entry.send(&profile(&caption(7, own)), 0));
     }
     assert!(used.len() > 2, "{used:?}");
 }
 
 #[test]
-fn long_prompts_keep_away_from_steady_streams() {
+fn long_prompts_avoid_engines_of_decode_heavy_streams() {
     let mut entry = Entry::new(9);
-    let mut steady = std::collections::BTreeSet::new();
-    let mut others = std::collections::BTreeSet::new();
+    let mut decode = std::collections::BTreeSet::new();
+    let mut prefill = std::collections::BTreeSet::new();
     for own in 0..20 {
-        steady.insert(entry.send(&ask(&narration(own)), 0));
-        others.insert(entry.serve(&ask(&caption(own, 100 + own)), 0));
+        decode.insert(entry.send(&profile(&narration(own)), 0));
+        prefill.insert(entry.serve(&profile(&caption(own, 100 + own)), 0));
     }
     // The first few decide before any demand for the other sort was seen.
-    let both = steady.intersection(&others).count();
-    assert!(both <= 1, "{steady:?} {others:?}");
-    assert!(others.len() > steady.len());
+    let both = decode.intersection(&prefill).count();
+    assert!(both <= 1, "{decode:?} {prefill:?}");
+    assert!(prefill.len() > decode.len());
 }
 
 #[test]
@@ -160,31 +160,31 @@
     let mut counts = std::collections::BTreeMap::new();
     for own in 0..200 {
         *counts
-            .entry(entry.send(&ask(&narration(own)), 0))
+            .entry(entry.send(&profile(&narration(own)), 0))
             .or_insert(0) += 1;
     }
     assert!(counts.values().all(|count| *count < 64), "{counts:?}");
 }
 
 #[test]
-fn what_others_have_in_flight_counts() {
+fn load_of_other_entries_counts() {
     let mut first = Entry::new(4);
     let mut second = Entry::new(4);
-    let busy = first.send(&ask(&caption(7, 1)), 0);
+    let busy = first.send(&profile(&caption(7, 1)), 0);
     first.endpoints.retain(|it| it.life.id.as_str() == busy);
     for own in 2..30 {
-        first.send(&ask(&caption(7, own)), 0);
+        first.send(&profile(&caption(7, own)), 0);
     }
-    let tidings = first.loads.tidings(48, Millis(0));
+    let gossip = first.balancer.gossip(48, Millis(0));
     let other = name::Entry::from("first");
-    second.loads.tell(&other, &tidings, Millis(0));
-    assert_ne!(second.send(&ask(&caption(7, 99)), 0), busy);
+    second.balancer.apply_gossip(&other, &gossip, Millis(0));
+    assert_ne!(second.send(&profile(&caption(7, 99)), 0), busy);
     // What an entry told counts for a while only.
-    assert_eq!(second.send(&ask(&caption(7, 100)), 5_000), busy);
+    assert_eq!(second.send(&profile(&caption(7, 100)), 5_000), busy);
 }
 
 #[test]
-fn an_endpoint_that_does_nothing_is_left_after_a_moment() {
+fn an_unresponsive_endpoint_is_avoided() {
     let mut entry = Entry::new(3);
     let silent = entry.send(&PLAIN, 0);
     let later: Vec<_> = (0..30).map(|at| entry.serve(&PLAIN, 600 + at)).collect();
@@ -192,29 +192,29 @@
 }
 
 #[test]
-fn an_overdue_request_tells_against_its_endpoint_whoever_ends_it() {
+fn an_overdue_request_counts_as_failure_whoever_ends_it() {
     let mut entry = Entry::new(2);
     let silent = entry.send(&PLAIN, 0);
     let ticket = entry.tickets.pop().unwrap();
-    entry.loads.end(&ticket, Millis(4_000));
+    entry.balancer.end(&ticket, Millis(4_000));
     let later: Vec<_> = (0..10).map(|_| entry.serve(&PLAIN, 4_001)).collect();
     assert!(!later.contains(&silent));
 }
 
 #[rstest]
-#[case::lost(Sign::Lost, false)]
-#[case::bad(Sign::Bad, true)]
-#[case::good(Sign::Good, true)]
-fn only_a_lost_endpoint_is_closed(#[case] sign: Sign, #[case] is_open: bool) {
+#[case::lost(HealthSignal::Lost, false)]
+#[case::failure(HealthSignal::Failure, true)]
+#[case::success(HealthSignal::Success, true)]
+fn only_an_unreachable_endpoint_is_suspended(#[case] signal: HealthSignal, #[case] is_open: bool) {
     let mut entry = Entry::new(1);
     entry.serve(&PLAIN, 0);
     let name = life("e0");
-    entry.loads.note(&name, sign, Millis(1));
+    entry.balancer.record_signal(&name, signal, Millis(1));
     assert_eq!(entry.choose(&PLAIN, 2).is_some(), is_open);
 }
 
 #[test]
-fn a_reported_load_counts_and_fades() {
+fn a_reported_load_counts_and_expires() {
     let mut entry = Entry::new(2);
     let busy = entry.serve(&PLAIN, 0);
     let report = Report {
@@ -223,16 +223,16 @@
         slots: 64,
     };
     let name = life(&busy);
-    entry.loads.report(&name, report, Millis(0));
+    entry.balancer.record_report(&name, report, Millis(0));
     assert_ne!(entry.serve(&PLAIN, 1), busy);
     entry.endpoints.retain(|it| it.life == name);
-    let mut wait = |now| entry.choose(&PLAIN, now).map_or(0.0, |it| it.wait);
+    let mut wait = |now| entry.choose(&PLAIN, now).map_or(0.0, |it| it.expected_wait);
     let (fresh, faded, gone) = (wait(1), wait(500), wait(1_000));
     assert!(fresh > faded && faded > gone, "{fresh} {faded} {gone}");
 }
 
 #[test]
-fn the_near_one_of_two_equals_is_chosen() {
+fn the_local_one_of_two_equal_endpoints_is_chosen() {
     let mut entry = Entry::new(2);
     entry.endpoints[0].data_centre = name::DataCentre::from("dub-b");
     assert_eq!(entry.serve(&PLAIN, 0), "e1");
@@ -241,28 +241,30 @@
 /// An entry that stood still finds answers that seem to have taken long. It asks the
 /// endpoint all the same: else it would never learn better.
 #[test]
-fn what_was_learnt_in_a_standstill_shuts_no_endpoint_out() {
+fn samples_from_a_stall_do_not_exclude_an_endpoint() {
     let mut entry = Entry::new(1);
     for _ in 0..30 {
         entry.send(&PLAIN, 0);
     }
     for ticket in std::mem::take(&mut entry.tickets) {
-        entry.loads.answered(&ticket, true, Millis(4_000));
-        entry.loads.end(&ticket, Millis(4_000));
+        entry
+            .balancer
+            .record_first_byte(&ticket, true, Millis(4_000));
+        entry.balancer.end(&ticket, Millis(4_000));
     }
     let choice = entry.choose(&PLAIN, 4_001).unwrap();
     assert!(!choice.is_too_late(Millis(600)), "{choice:?}");
     let later = entry.choose(&PLAIN, 200_000).unwrap();
-    assert!(later.wait < 30.0, "{later:?}");
+    assert!(later.expected_wait < 30.0, "{later:?}");
 }
 
 #[test]
-fn a_queue_that_is_there_makes_a_request_too_late() {
+fn a_known_queue_makes_a_request_too_late() {
     let mut entry = Entry::new(1);
     for own in 0..40 {
-        entry.send(&ask(&caption(7, own)), 0);
+        entry.send(&profile(&caption(7, own)), 0);
     }
-    let choice = entry.choose(&ask(&caption(7, 99)), 0).unwrap();
+    let choice = entry.choose(&profile(&caption(7, 99)), 0).unwrap();
     assert!(choice.is_too_late(Millis(1_000)), "{choice:?}");
     assert!(!choice.is_too_late(Millis(60_000)), "{choice:?}");
 }
@@ -270,20 +272,20 @@
 /// The end of a stream is told with room for the tenth that takes longer than forecast; that
 /// of a stream of unknown length is not told.
 #[test]
-fn a_likely_end_leaves_room_for_doubt() {
+fn an_estimated_end_includes_a_margin() {
     let work = narration(1);
     let mut entry = Entry::new(1);
-    let stream = entry.choose(&ask(&work), 0).unwrap();
-    let lasts = (stream.wait + stream.run) * 2.0;
-    let told = stream.likely_end(true, Millis(1_000)).unwrap();
-    assert!(stream.run > 0.0 && (told.0 as f64 - 1_000.0 - lasts).abs() <= 1.0);
+    let stream = entry.choose(&profile(&work), 0).unwrap();
+    let duration = (stream.expected_wait + stream.stream_time) * 2.0;
+    let estimated = stream.estimated_end(true, Millis(1_000)).unwrap();
+    assert!(stream.stream_time > 0.0 && (estimated.0 as f64 - 1_000.0 - duration).abs() <= 1.0);
     let plain = entry.choose(&PLAIN, 0).unwrap();
-    assert_eq!(plain.likely_end(true, Millis(1_000)), None);
-    assert!(plain.likely_end(false, Millis(1_000)).is_some());
+    assert_eq!(plain.estimated_end(true, Millis(1_000)), None);
+    assert!(plain.estimated_end(false, Millis(1_000)).is_some());
 }
 
 /// The endpoints of an entry in the lives that began at a moment.
-fn begin_again(entry: &mut Entry, at: u64) {
+fn restart(entry: &mut Entry, at: u64) {
     for (number, endpoint) in entry.endpoints.iter_mut().enumerate() {
         *endpoint = started(&format!("e{number}"), at);
     }
@@ -291,43 +293,47 @@
 
 /// The first requests meet a new life as they would meet an endpoint never heard of.
 #[rstest]
-#[case::running(|entry: &mut Entry| { entry.send(&ask(&caption(7, 1)), 0); })]
-#[case::kept_parts(|entry: &mut Entry| { entry.serve(&ask(&caption(7, 1)), 0); })]
+#[case::running(|entry: &mut Entry| { entry.send(&profile(&caption(7, 1)), 0); })]
+#[case::kept_parts(|entry: &mut Entry| { entry.serve(&profile(&caption(7, 1)), 0); })]
 #[case::failures(|entry: &mut Entry| {
-    entry.serve(&ask(&caption(7, 1)), 0);
+    entry.serve(&profile(&caption(7, 1)), 0);
     let life = entry.endpoints[0].life.clone();
-    entry.loads.note(&life, Sign::Bad, Millis(0));
-    entry.loads.note(&life, Sign::Lost, Millis(0));
+    entry.balancer.record_signal(&life, HealthSignal::Failure, Millis(0));
+    entry.balancer.record_signal(&life, HealthSignal::Lost, Millis(0));
 })]
 #[case::reported_load(|entry: &mut Entry| {
-    entry.serve(&ask(&caption(7, 1)), 0);
+    entry.serve(&profile(&caption(7, 1)), 0);
     let life = entry.endpoints[0].life.clone();
     let report = Report { running: 64, waiting: 100, slots: 64 };
-    entry.loads.report(&life, report, Millis(0));
+    entry.balancer.record_report(&life, report, Millis(0));
 })]
 #[case::told_by_others(|entry: &mut Entry| {
     let mut other = Entry::new(1);
     other.endpoints.clone_from(&entry.endpoints);
-    other.send(&ask(&caption(7, 1)), 0);
-    let tidings = other.loads.tidings(48, Millis(0));
-    entry.loads.tell(&name::Entry::from("other"), &tidings, Millis(0));
+    other.send(&profile(&caption(7, 1)), 0);
+    let gossip = other.balancer.gossip(48, Millis(0));
+    entry.balancer.apply_gossip(&name::Entry::from("other"), &gossip, Millis(0));
     // What is learnt of the service as a whole stays.
-    entry.serve(&ask(&caption(8, 1)), 0);
+    entry.serve(&profile(&caption(8, 1)), 0);
 })]
-fn a_new_life_begins_with_nothing(#[case] happen: fn(&mut Entry)) {
+fn a_new_life_starts_without_state(#[case] event: fn(&mut Entry)) {
     let mut entry = Entry::new(1);
-    begin_again(&mut entry, 100);
-    happen(&mut entry);
-    let met = entry.choose(&ask(&caption(7, 2)), 1);
-    begin_again(&mut entry, 200);
-    let again = entry.choose(&ask(&caption(7, 2)), 1).expect("it is open");
+    restart(&mut entry, 100);
+    event(&mut entry);
+    let met = entry.choose(&profile(&caption(7, 2)), 1);
+    restart(&mut entry, 200);
+    let again = entry
+        .choose(&profile(&caption(7, 2)), 1)
+        .expect("it is open");
     entry.endpoints = vec![started("e-never-heard-of", 100)];
-    let fresh = entry.choose(&ask(&caption(7, 2)), 1).expect("it is open");
+    let fresh = entry
+        .choose(&profile(&caption(7, 2)), 1)
+        .expect("it is open");
     let figures = |it: &Choice| {
         (
-            it.own,
-            it.kept,
-            format!("{:?}", (it.wait, it.running, it.cost)),
+            it.own_running,
+            it.cached_tokens,
+            format!("{:?}", (it.expected_wait, it.running, it.cost)),
         )
     };
     assert_eq!(figures(&again), figures(&fresh));
@@ -337,12 +343,12 @@
 
 /// Reports, failures and ends of an earlier life do not count for the later one.
 #[test]
-fn late_news_of_an_earlier_life_do_not_count_for_the_later_one() {
+fn late_signals_of_an_earlier_life_do_not_affect_the_later_one() {
     let mut entry = Entry::new(1);
-    begin_again(&mut entry, 100);
+    restart(&mut entry, 100);
     let earlier = entry.endpoints[0].life.clone();
     entry.send(&PLAIN, 0);
-    begin_again(&mut entry, 200);
+    restart(&mut entry, 200);
     entry.send(&PLAIN, 1);
     let before = entry.choose(&PLAIN, 2);
     let report = Report {
@@ -350,11 +356,13 @@
         waiting: 100,
         slots: 64,
     };
-    entry.loads.report(&earlier, report, Millis(2));
-    entry.loads.note(&earlier, Sign::Lost, Millis(2));
+    entry.balancer.record_report(&earlier, report, Millis(2));
+    entry
+        .balancer
+        .record_signal(&earlier, HealthSignal::Lost, Millis(2));
     let ticket = entry.tickets.remove(0);
-    entry.loads.end(&ticket, Millis(2));
-    entry.loads.forget(&[earlier]);
+    entry.balancer.end(&ticket, Millis(2));
+    entry.balancer.remove(&[earlier]);
     let after = entry.choose(&PLAIN, 2);
     assert!(after.is_some());
     assert_eq!(after, before);
--- a/crates/core/tests/relay/lives/loads.rs
+++ b/crates/core/tests/relay/lives/loads.rs
@@ -4,25 +4,25 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::engine::{Choice, Loads, Report, Ticket};
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::engine::{Choice, LoadBalancer, Report, Ticket};
+use woodgap_core::relay::health::HealthSignal;
 use woodgap_core::relay::roster::Endpoint;
 use woodgap_core::relay::tidings::{Share, life_key};
 use woodgap_core::relay::work::{Part, Work};
 
 use crate::engine::{PLAIN, caption};
 use crate::roster::{endpoint, started};
-use crate::source::moving;
+use crate::source::transferring;
 
 /// How many other entries tell of their load.
 const PEERS: usize = 2;
 /// How many events of a stream show how long a token takes, and the time between two.
 const EVENTS: u64 = 20;
-const PAUSE: u64 = 60;
+const EVENT_INTERVAL: u64 = 60;
 
 /// Of which endpoint news are.
 #[derive(Clone, Copy, Debug)]
-enum Of {
+enum Target {
     Earlier,
     Later,
     /// Another endpoint of the service.
@@ -31,54 +31,62 @@
 
 /// What is heard of an endpoint.
 #[derive(Clone, Copy, Debug)]
-enum News {
+enum Event {
     /// A request is sent there.
     Send(u64),
     /// The answer to its oldest request begins.
-    Answer,
+    FirstByte,
     /// Its oldest request brings many events.
-    Events,
+    StreamEvents,
     /// Its oldest request ends.
     End,
     /// It reports its load.
     Report(u32),
     /// A connection or an answer tells of it.
-    Sign(Sign),
+    Signal(HealthSignal),
     /// Another entry sends it a request, and tells of its load.
-    Told(usize),
+    Gossip(usize),
     /// It is gone, and forgotten.
     Gone,
 }
 
-fn news() -> impl Strategy<Value = Vec<(Of, News, u64)>> {
-    let of = prop_oneof![Just(Of::Earlier), Just(Of::Later), Just(Of::Other)];
-    let sign = prop_oneof![Just(Sign::Good), Just(Sign::Bad), Just(Sign::Lost)];
-    let news = prop_oneof![
-        3 => (0_u64..3).prop_map(News::Send),
-        1 => Just(News::Answer),
-        1 => Just(News::Events),
-        1 => Just(News::End),
-        1 => (0_u32..200).prop_map(News::Report),
-        1 => sign.prop_map(News::Sign),
-        1 => (0..PEERS).prop_map(News::Told),
-        1 => Just(News::Gone),
+fn history() -> impl Strategy<Value = Vec<(Target, Event, u64)>> {
+    let target = prop_oneof![
+        Just(Target::Earlier),
+        Just(Target::Later),
+        Just(Target::Other)
     ];
-    proptest::collection::vec((of, news, 0_u64..400), 1..30)
+    let signal = prop_oneof![
+        Just(HealthSignal::Success),
+        Just(HealthSignal::Failure),
+        Just(HealthSignal::Lost)
+    ];
+    let event = prop_oneof![
+        3 => (0_u64..3).prop_map(Event::Send),
+        1 => Just(Event::FirstByte),
+        1 => Just(Event::StreamEvents),
+        1 => Just(Event::End),
+        1 => (0_u32..200).prop_map(Event::Report),
+        1 => signal.prop_map(Event::Signal),
+        1 => (0..PEERS).prop_map(Event::Gossip),
+        1 => Just(Event::Gone),
+    ];
+    proptest::collection::vec((target, event, 0_u64..400), 1..30)
 }
 
 /// What an entry expects of the later life, and what it tells of it.
 #[derive(Debug, PartialEq)]
-struct Met {
+struct View {
     stream: Option<Choice>,
     plain: Option<Choice>,
     is_suspended: bool,
-    told: Option<Share>,
+    shared: Option<Share>,
 }
 
 /// An entry, the other entries, and the endpoints that they hear of.
 struct Stage {
-    loads: Loads,
-    peers: [Loads; PEERS],
+    balancer: LoadBalancer,
+    peers: [LoadBalancer; PEERS],
     earlier: Endpoint,
     later: Endpoint,
     other: Endpoint,
@@ -88,10 +96,10 @@
 
 impl Stage {
     fn new(earlier: &Endpoint, later: &Endpoint) -> Self {
-        let loads = |seed| Loads::new(name::DataCentre::from("dub-a"), seed);
+        let balancer = |seed| LoadBalancer::new(name::DataCentre::from("dub-a"), seed);
         Self {
-            loads: loads(1),
-            peers: [loads(2), loads(3)],
+            balancer: balancer(1),
+            peers: [balancer(2), balancer(3)],
             earlier: earlier.clone(),
             later: later.clone(),
             other: endpoint("e1"),
@@ -100,103 +108,108 @@
         }
     }
 
-    fn endpoint(&self, of: Of) -> Endpoint {
-        match of {
-            Of::Earlier => self.earlier.clone(),
-            Of::Later => self.later.clone(),
-            Of::Other => self.other.clone(),
+    fn endpoint(&self, target: Target) -> Endpoint {
+        match target {
+            Target::Earlier => self.earlier.clone(),
+            Target::Later => self.later.clone(),
+            Target::Other => self.other.clone(),
         }
     }
 
-    fn hear(&mut self, of: Of, news: News) {
-        let endpoint = self.endpoint(of);
+    fn apply(&mut self, target: Target, event: Event) {
+        let endpoint = self.endpoint(target);
         let life = &endpoint.life;
-        match news {
-            News::Send(subject) => {
-                let ticket = send(&mut self.loads, &endpoint, subject, self.now);
+        match event {
+            Event::Send(subject) => {
+                let ticket = send(&mut self.balancer, &endpoint, subject, self.now);
                 self.tickets.extend(ticket);
             }
-            News::Answer => {
+            Event::FirstByte => {
                 if let Some(ticket) = self.tickets.iter().find(|it| it.endpoint() == life) {
-                    self.loads.answered(ticket, false, self.now);
+                    self.balancer.record_first_byte(ticket, false, self.now);
                 }
             }
-            News::Events => {
+            Event::StreamEvents => {
                 if let Some(ticket) = self.tickets.iter().find(|it| it.endpoint() == life) {
-                    self.now = events(&mut self.loads, ticket, self.now);
+                    self.now = events(&mut self.balancer, ticket, self.now);
                 }
             }
-            News::End => {
+            Event::End => {
                 let oldest = self.tickets.iter().position(|it| it.endpoint() == life);
                 if let Some(ticket) = oldest.map(|at| self.tickets.remove(at)) {
-                    self.loads.end(&ticket, self.now);
+                    self.balancer.end(&ticket, self.now);
                 }
             }
-            News::Report(running) => {
+            Event::Report(running) => {
                 let report = Report {
                     running,
                     waiting: running / 2,
                     slots: 64,
                 };
-                self.loads.report(life, report, self.now);
+                self.balancer.record_report(life, report, self.now);
             }
-            News::Sign(sign) => self.loads.note(life, sign, self.now),
-            News::Told(peer) => self.tell(peer, &endpoint),
-            News::Gone => self.loads.forget(std::slice::from_ref(life)),
+            Event::Signal(signal) => self.balancer.record_signal(life, signal, self.now),
+            Event::Gossip(peer) => self.gossip(peer, &endpoint),
+            Event::Gone => self.balancer.remove(std::slice::from_ref(life)),
         }
     }
 
     /// Another entry sends a request there, sees events of it, and tells of its load.
-    fn tell(&mut self, peer: usize, endpoint: &Endpoint) {
-        let loads = &mut self.peers[peer];
-        if let Some(ticket) = send(loads, endpoint, 9, self.now) {
-            self.now = events(loads, &ticket, self.now);
+    fn gossip(&mut self, peer: usize, endpoint: &Endpoint) {
+        let balancer = &mut self.peers[peer];
+        if let Some(ticket) = send(balancer, endpoint, 9, self.now) {
+            self.now = events(balancer, &ticket, self.now);
         }
-        let tidings = loads.tidings(48, self.now);
+        let gossip = balancer.gossip(48, self.now);
         let entry = name::Entry::from(format!("peer-{peer}"));
-        self.loads.tell(&entry, &tidings, self.now);
+        self.balancer.apply_gossip(&entry, &gossip, self.now);
     }
 
     /// What a request would meet now.
-    fn met(&mut self) -> Met {
+    fn view(&mut self) -> View {
         let work = caption(0, 1_000);
         let open = [&self.later, &self.other];
-        let stream = self.loads.choose(&open, &moving(&work), self.now);
-        let plain = self.loads.choose(&[&self.later], &PLAIN, self.now);
-        let tidings = self.loads.tidings(48, self.now);
+        let stream = self.balancer.choose(&open, &transferring(&work), self.now);
+        let plain = self.balancer.choose(&[&self.later], &PLAIN, self.now);
+        let gossip = self.balancer.gossip(48, self.now);
         let key = life_key(&self.later.life);
-        Met {
+        View {
             stream,
             plain,
-            is_suspended: self.loads.suspended(&self.later.life),
-            told: tidings.shares.into_iter().find(|it| it.endpoint == key),
+            is_suspended: self.balancer.is_suspended(&self.later.life),
+            shared: gossip.shares.into_iter().find(|it| it.endpoint == key),
         }
     }
 
     /// What requests meet after each of the news.
-    fn play(mut self, news: &[(Of, News, u64)]) -> Vec<Met> {
-        let met = news.iter().map(|(of, news, pause)| {
-            self.hear(*of, *news);
-            self.now = self.now + Millis(*pause);
-            self.met()
+    fn replay(mut self, history: &[(Target, Event, u64)]) -> Vec<View> {
+        let views = history.iter().map(|(target, event, delay)| {
+            self.apply(*target, *event);
+            self.now = self.now + Millis(*delay);
+            self.view()
         });
-        met.collect()
+        views.collect()
     }
 }
 
 /// Sends a request with a prompt of this subject, if the endpoint is open.
-fn send(loads: &mut Loads, endpoint: &Endpoint, subject: u64, now: Millis) -> Option<Ticket> {
+fn send(
+    balancer: &mut LoadBalancer,
+    endpoint: &Endpoint,
+    subject: u64,
+    now: Millis,
+) -> Option<Ticket> {
     let work = caption(subject, 1);
-    let ask = moving(&work);
-    let choice = loads.choose(&[endpoint], &ask, now)?;
-    Some(loads.begin(&choice, &ask, now))
+    let ask = transferring(&work);
+    let choice = balancer.choose(&[endpoint], &ask, now)?;
+    Some(balancer.begin(&choice, &ask, now))
 }
 
 /// A stream brings events for a while; gives back its end.
-fn events(loads: &mut Loads, ticket: &Ticket, now: Millis) -> Millis {
-    let at = |event| now + Millis(event * PAUSE);
+fn events(balancer: &mut LoadBalancer, ticket: &Ticket, now: Millis) -> Millis {
+    let at = |event| now + Millis(event * EVENT_INTERVAL);
     for event in 0..EVENTS {
-        loads.event(ticket, 1, at(event));
+        balancer.record_event(ticket, 1, at(event));
     }
     at(EVENTS)
 }
@@ -217,14 +230,14 @@
     /// that is none of its lives: prompt parts, load, speed, failures and running work,
     /// of this entry and told by others, in any order.
     #[test]
-    fn news_of_an_earlier_life_never_count_for_the_later_one(
+    fn events_of_an_earlier_life_never_affect_the_later_one(
         (earlier, later) in two_lives(),
-        news in news(),
+        history in history(),
     ) {
         let mut unrelated = earlier.clone();
         unrelated.life.id = name::Endpoint::from("e-unrelated");
-        let met = Stage::new(&earlier, &later).play(&news);
-        let expected = Stage::new(&unrelated, &later).play(&news);
+        let met = Stage::new(&earlier, &later).replay(&history);
+        let expected = Stage::new(&unrelated, &later).replay(&history);
         prop_assert_eq!(met, expected);
     }
 }
@@ -232,37 +245,43 @@
 /// A report of the later life stands, though its counts begin anew and are smaller, and
 /// whether the last report of the earlier one is heard before or after it.
 #[rstest]
-#[case::in_order([Of::Earlier, Of::Later])]
-#[case::late([Of::Later, Of::Earlier])]
-fn a_count_that_begins_anew_stands(#[case] order: [Of; 2]) {
+#[case::in_order([Target::Earlier, Target::Later])]
+#[case::late([Target::Later, Target::Earlier])]
+fn a_report_of_a_new_life_replaces_that_of_the_earlier_one(#[case] order: [Target; 2]) {
     let (earlier, later) = (started("e0", 100), started("e0", 200));
     let mut stage = Stage::new(&earlier, &later);
-    for of in [Of::Earlier, Of::Later] {
-        stage.hear(of, News::Send(0));
+    for target in [Target::Earlier, Target::Later] {
+        stage.apply(target, Event::Send(0));
     }
-    for of in order {
-        let running = if matches!(of, Of::Earlier) { 120 } else { 1 };
-        stage.hear(of, News::Report(running));
+    for target in order {
+        let running = if matches!(target, Target::Earlier) {
+            120
+        } else {
+            1
+        };
+        stage.apply(target, Event::Report(running));
     }
-    let plain = stage.met().plain.expect("it is open");
+    let plain = stage.view().plain.expect("it is open");
     assert!((plain.running - 1.0).abs() < 0.01, "{plain:?}");
 }
 
 /// Another entry that still knows the earlier life tells of much work there, after a third
 /// one has told of its work at the later life: that alone counts.
 #[test]
-fn what_a_peer_tells_of_an_earlier_life_does_not_count() {
+fn gossip_about_an_earlier_life_does_not_count() {
     let (earlier, later) = (started("e0", 100), started("e0", 200));
     let mut stage = Stage::new(&earlier, &later);
-    stage.hear(Of::Later, News::Told(0));
+    stage.apply(Target::Later, Event::Gossip(0));
     let now = stage.now;
     for _ in 0..5 {
         stage.now = now;
-        stage.hear(Of::Earlier, News::Told(1));
+        stage.apply(Target::Earlier, Event::Gossip(1));
     }
     let work = caption(0, 1_000);
     let mut running = |endpoint| {
-        let choice = stage.loads.choose(&[endpoint], &moving(&work), now);
+        let choice = stage
+            .balancer
+            .choose(&[endpoint], &transferring(&work), now);
         choice.map(|it| it.running)
     };
     assert_eq!(running(&later), Some(1.0));
@@ -270,7 +289,7 @@
 }
 
 /// A prompt that shares nothing with others: only an engine that it was sent to keeps it.
-fn alone(id: u64) -> Work {
+fn unshared_prompt(id: u64) -> Work {
     Work {
         parts: vec![Part { id, tokens: 9_000 }],
         ..caption(0, 0)
@@ -278,40 +297,44 @@
 }
 
 /// Sends a prompt to an engine, where it stays.
-fn keep_busy(loads: &mut Loads, engine: &Endpoint, id: u64) {
-    let work = alone(id);
-    let choice = loads.choose(&[engine], &moving(&work), Millis(0));
-    loads.begin(&choice.expect("it is open"), &moving(&work), Millis(0));
+fn send_and_hold(balancer: &mut LoadBalancer, engine: &Endpoint, id: u64) {
+    let work = unshared_prompt(id);
+    let choice = balancer.choose(&[engine], &transferring(&work), Millis(0));
+    balancer.begin(
+        &choice.expect("it is open"),
+        &transferring(&work),
+        Millis(0),
+    );
 }
 
 /// A prompt is taken from the engine that keeps it, until that starts again: it has nothing
 /// to give then. One that has itself started again takes the prompt from another.
 #[test]
-fn kept_parts_are_not_taken_from_an_engine_that_started_again() {
-    let mut loads = Loads::new(name::DataCentre::from("dub-a"), 1);
-    let (keeper, free) = (started("e0", 100), started("e1", 100));
+fn cached_parts_are_not_fetched_from_a_restarted_engine() {
+    let mut balancer = LoadBalancer::new(name::DataCentre::from("dub-a"), 1);
+    let (holder, free) = (started("e0", 100), started("e1", 100));
     let again = started("e0", 200);
-    keep_busy(&mut loads, &keeper, 7);
+    send_and_hold(&mut balancer, &holder, 7);
     // What it does now must not be the reason why it gives nothing.
-    for engine in [&keeper, &again] {
+    for engine in [&holder, &again] {
         for other in 10..30 {
-            keep_busy(&mut loads, engine, other);
+            send_and_hold(&mut balancer, engine, other);
         }
     }
     let mut choose = |engines: [&Endpoint; 2]| {
-        let work = alone(7);
-        let choice = loads.choose(&engines, &moving(&work), Millis(0));
+        let work = unshared_prompt(7);
+        let choice = balancer.choose(&engines, &transferring(&work), Millis(0));
         let choice = choice.expect("an engine is open");
-        (choice.endpoint, choice.source)
+        (choice.endpoint, choice.prompt_source)
     };
     let free_again = started("e1", 200);
     assert_eq!(
-        choose([&keeper, &free]),
-        (free.clone(), Some(keeper.clone()))
+        choose([&holder, &free]),
+        (free.clone(), Some(holder.clone()))
     );
     assert_eq!(choose([&again, &free]), (free.clone(), None));
     assert_eq!(
-        choose([&keeper, &free_again]),
-        (free_again.clone(), Some(keeper))
+        choose([&holder, &free_again]),
+        (free_again.clone(), Some(holder))
     );
 }
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -1,19 +1,18 @@
 //! Decisions of the relay, as tables and properties.
 
+mod active_plan;
 mod admission;
 mod budget;
 mod claim;
 mod duty;
 mod engine;
+mod engine_speed;
 mod evacuation;
 mod farewell;
 mod fleet;
-mod force;
 mod health;
 mod lives;
 mod outage;
-mod pace;
-mod part;
 mod plan;
 mod prefix;
 mod rest;
@@ -22,6 +21,7 @@
 mod shutdown;
 mod sizing;
 mod source;
+mod subset;
 mod table;
 mod time;
 mod true_time;
--- a/crates/core/tests/relay/prefix.rs
+++ b/crates/core/tests/relay/prefix.rs
@@ -1,7 +1,7 @@
 //! Prompt parts that engines are believed to keep.
 
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::prefix::Prefix;
+use woodgap_core::relay::prefix::PrefixCache;
 use woodgap_core::relay::work::Part;
 
 fn part(id: u64, tokens: u32) -> Part {
@@ -9,32 +9,35 @@
 }
 
 #[test]
-fn a_part_counts_only_behind_the_same_parts() {
-    let mut prefix = Prefix::new(10_000);
-    prefix.touch(&[part(1, 100), part(2, 200)], Millis(0));
-    prefix.touch(&[part(3, 100)], Millis(0));
-    assert_eq!(prefix.kept(&[part(3, 100), part(2, 200)]), 100);
-    assert_eq!(prefix.kept(&[part(1, 100), part(2, 200), part(9, 5)]), 300);
+fn a_part_counts_only_after_the_same_parts() {
+    let mut cache = PrefixCache::new(10_000);
+    cache.record(&[part(1, 100), part(2, 200)], Millis(0));
+    cache.record(&[part(3, 100)], Millis(0));
+    assert_eq!(cache.cached_tokens(&[part(3, 100), part(2, 200)]), 100);
+    assert_eq!(
+        cache.cached_tokens(&[part(1, 100), part(2, 200), part(9, 5)]),
+        300
+    );
 }
 
 #[test]
-fn the_part_unused_for_longest_goes_first() {
-    let mut prefix = Prefix::new(300);
-    prefix.touch(&[part(1, 100)], Millis(0));
-    prefix.touch(&[part(2, 100)], Millis(1));
-    prefix.touch(&[part(3, 100)], Millis(2));
-    prefix.touch(&[part(1, 100)], Millis(3));
-    prefix.touch(&[part(4, 100)], Millis(4));
-    let kept = [1, 2, 3, 4].map(|id| prefix.kept(&[part(id, 100)]));
-    assert_eq!(kept, [100, 0, 100, 100]);
+fn the_least_recently_used_part_is_evicted_first() {
+    let mut cache = PrefixCache::new(300);
+    cache.record(&[part(1, 100)], Millis(0));
+    cache.record(&[part(2, 100)], Millis(1));
+    cache.record(&[part(3, 100)], Millis(2));
+    cache.record(&[part(1, 100)], Millis(3));
+    cache.record(&[part(4, 100)], Millis(4));
+    let cached = [1, 2, 3, 4].map(|id| cache.cached_tokens(&[part(id, 100)]));
+    assert_eq!(cached, [100, 0, 100, 100]);
 }
 
 #[test]
-fn one_prompt_above_the_whole_memory_leaves_nothing_behind() {
-    let mut prefix = Prefix::new(300);
-    prefix.touch(&[part(1, 100)], Millis(0));
-    prefix.touch(&[part(2, 4_000)], Millis(1));
-    assert_eq!(prefix.kept(&[part(1, 100)]), 0);
-    prefix.touch(&[part(3, 300)], Millis(2));
-    assert_eq!(prefix.kept(&[part(3, 300)]), 300);
+fn a_prompt_larger_than_the_memory_empties_the_cache() {
+    let mut cache = PrefixCache::new(300);
+    cache.record(&[part(1, 100)], Millis(0));
+    cache.record(&[part(2, 4_000)], Millis(1));
+    assert_eq!(cache.cached_tokens(&[part(1, 100)]), 0);
+    cache.record(&[part(3, 300)], Millis(2));
+    assert_eq!(cache.cached_tokens(&[part(3, 300)]), 300);
 }
--- a/crates/core/tests/relay/source.rs
+++ b/crates/core/tests/relay/source.rs
@@ -3,78 +3,89 @@
 use std::collections::BTreeSet;
 
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::Ask;
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::RequestProfile;
+use woodgap_core::relay::health::HealthSignal;
 use woodgap_core::relay::plan::Engine;
 use woodgap_core::relay::work::{Part, Work};
 
-use crate::engine::{ENGINE, Entry, ask, caption};
+use crate::engine::{ENGINE, Entry, caption, profile};
 use crate::roster::life;
 
 /// Engines that give kept prompt parts to one another.
-const MOVING: Engine = Engine {
+const TRANSFERRING: Engine = Engine {
     moves_prompts: true,
     ..ENGINE
 };
 
-pub fn moving(work: &Work) -> Ask<'_> {
-    Ask {
-        engine: Some(MOVING),
-        ..ask(work)
+pub fn transferring(work: &Work) -> RequestProfile<'_> {
+    RequestProfile {
+        engine: Some(TRANSFERRING),
+        ..profile(work)
     }
 }
 
 /// A hot subject: its engine falls behind, others help out. They take the shared part
 /// from the engine that keeps it instead of reading it again.
 #[test]
-fn an_engine_that_helps_out_takes_the_shared_part_from_the_one_that_keeps_it() {
+fn an_additional_engine_fetches_the_shared_part_from_its_holder() {
     let mut entry = Entry::new(9);
-    let keeper = entry.serve(&moving(&caption(7, 1)), 0);
+    let holder = entry.serve(&transferring(&caption(7, 1)), 0);
     let mut helped = 0;
     for own in 2..60 {
         let work = caption(7, own);
-        let choice = entry.choose(&moving(&work), 10).expect("an engine is open");
-        let source = choice.source.as_ref().map(|it| it.life.id.to_string());
-        if choice.endpoint.life.id.as_str() == keeper {
+        let choice = entry
+            .choose(&transferring(&work), 10)
+            .expect("an engine is open");
+        let source = choice
+            .prompt_source
+            .as_ref()
+            .map(|it| it.life.id.to_string());
+        if choice.endpoint.life.id.as_str() == holder {
             assert_eq!(source, None);
-        } else if choice.kept == 0 {
-            assert_eq!(source, Some(keeper.clone()));
+        } else if choice.cached_tokens == 0 {
+            assert_eq!(source, Some(holder.clone()));
             helped += 1;
         }
-        entry.send(&moving(&work), 10);
+        entry.send(&transferring(&work), 10);
     }
     assert!(helped > 0);
 }
 
 #[test]
-fn engines_that_give_nothing_are_not_asked() {
+fn engines_without_transfer_are_no_source() {
     let mut entry = Entry::new(9);
     for own in 0..60 {
         let work = caption(7, own);
-        let choice = entry.choose(&ask(&work), 10).expect("an engine is open");
-        assert_eq!(choice.source, None);
-        entry.send(&ask(&work), 10);
+        let choice = entry
+            .choose(&profile(&work), 10)
+            .expect("an engine is open");
+        assert_eq!(choice.prompt_source, None);
+        entry.send(&profile(&work), 10);
     }
 }
 
 /// An engine that is lost has nothing to give.
 #[test]
-fn nothing_is_taken_from_a_lost_engine() {
+fn nothing_is_fetched_from_an_unreachable_engine() {
     let mut entry = Entry::new(3);
-    let keeper = entry.serve(&moving(&caption(7, 1)), 0);
-    let name = life(&keeper);
-    entry.loads.note(&name, Sign::Lost, Millis(5));
+    let holder = entry.serve(&transferring(&caption(7, 1)), 0);
+    let name = life(&holder);
+    entry
+        .balancer
+        .record_signal(&name, HealthSignal::Lost, Millis(5));
     for own in 2..20 {
         let work = caption(7, own);
-        let choice = entry.choose(&moving(&work), 10).expect("an engine is open");
-        let source = choice.source.map(|it| it.life);
+        let choice = entry
+            .choose(&transferring(&work), 10)
+            .expect("an engine is open");
+        let source = choice.prompt_source.map(|it| it.life);
         assert_ne!(source, Some(name.clone()));
-        entry.send(&moving(&work), 10);
+        entry.send(&transferring(&work), 10);
     }
 }
 
 /// A prompt that begins with a part which the prompts of many subjects have in common.
-fn album(subject: u64, own: u64) -> Work {
+fn prompt_with_common_part(subject: u64, own: u64) -> Work {
     let caption = caption(subject, own);
     let common = Part {
         id: 1,
@@ -91,15 +102,17 @@
 /// common part is read once and taken by all other engines, from one that all entries agree
 /// on, though no entry has sent anything there yet.
 #[test]
-fn engines_take_the_common_part_from_the_same_engine_at_their_first_request() {
+fn engines_fetch_the_common_part_from_the_same_engine_at_their_first_request() {
     let mut sources = BTreeSet::new();
     let mut chosen = BTreeSet::new();
     for subject in 100..160 {
         // Each entry sends one request only.
         let mut entry = Entry::new(9);
-        let work = album(subject, subject + 1_000);
-        let choice = entry.choose(&moving(&work), 0).expect("an engine is open");
-        let source = choice.source.map(|it| it.life.id.to_string());
+        let work = prompt_with_common_part(subject, subject + 1_000);
+        let choice = entry
+            .choose(&transferring(&work), 0)
+            .expect("an engine is open");
+        let source = choice.prompt_source.map(|it| it.life.id.to_string());
         let endpoint = choice.endpoint.life.id.to_string();
         if source.is_none() {
             // It is the common keeper itself.
@@ -115,11 +128,13 @@
 
 /// Nothing is taken where this entry knows that the engine keeps all.
 #[test]
-fn an_engine_that_is_known_to_keep_all_takes_nothing() {
+fn an_engine_that_has_everything_cached_fetches_nothing() {
     let mut entry = Entry::new(9);
-    let keeper = entry.serve(&moving(&album(7, 1)), 0);
-    let work = album(7, 2);
-    let choice = entry.choose(&moving(&work), 10).expect("an engine is open");
-    assert_eq!(choice.endpoint.life.id.as_str(), keeper);
-    assert_eq!(choice.source, None);
+    let holder = entry.serve(&transferring(&prompt_with_common_part(7, 1)), 0);
+    let work = prompt_with_common_part(7, 2);
+    let choice = entry
+        .choose(&transferring(&work), 10)
+        .expect("an engine is open");
+    assert_eq!(choice.endpoint.life.id.as_str(), holder);
+    assert_eq!(choice.prompt_source, None);
 }
--- a/crates/fake/src/batch.rs
+++ b/crates/fake/src/batch.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use woodgap_core::relay::prefix::chains;
+use woodgap_core::relay::prefix::prefix_hashes;
 use woodgap_core::relay::work::{Part, Work};
 
 /// What an engine is made of.
@@ -197,7 +197,7 @@
     fn find(&mut self, parts: &[Part]) -> u32 {
         let step = self.step;
         let mut found = 0;
-        for (chain, part) in chains(parts).zip(parts) {
+        for (chain, part) in prefix_hashes(parts).zip(parts) {
             let Some((_, used)) = self.kept.get_mut(&chain) else {
                 break;
             };
@@ -226,7 +226,7 @@
     }
 
     fn keep(&mut self, parts: &[Part]) {
-        for (chain, part) in chains(parts).zip(parts) {
+        for (chain, part) in prefix_hashes(parts).zip(parts) {
             self.kept.insert(chain, (part.tokens, self.step));
         }
         let room = self.make.memory_tokens.saturating_sub(self.held());
--- a/crates/fake/tests/placement/site.rs
+++ b/crates/fake/tests/placement/site.rs
@@ -6,10 +6,10 @@
 use rand_chacha::ChaCha8Rng;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::Ask;
-use woodgap_core::relay::engine::{Loads, Report, Ticket};
+use woodgap_core::relay::RequestProfile;
+use woodgap_core::relay::engine::{LoadBalancer, Report, Ticket};
 use woodgap_core::relay::fleet::ASKED;
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::health::HealthSignal;
 use woodgap_core::relay::plan;
 use woodgap_core::relay::roster::Endpoint;
 use woodgap_core::relay::work::{Part, Work};
@@ -95,7 +95,7 @@
 pub struct Site {
     layout: Layout,
     random: ChaCha8Rng,
-    entries: Vec<Loads>,
+    entries: Vec<LoadBalancer>,
     /// Whom each entry asks next.
     asks_next: Vec<usize>,
     endpoints: Vec<Endpoint>,
@@ -129,7 +129,7 @@
             reclaimable: false,
             cold_for: Millis::ZERO,
         };
-        let loads = |at: usize| Loads::new(data_centre(at), at as u64);
+        let loads = |at: usize| LoadBalancer::new(data_centre(at), at as u64);
         Self {
             layout,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -188,7 +188,7 @@
                 }
             }
             for entry in &mut self.entries {
-                entry.note(life, Sign::Lost, Millis(self.now));
+                entry.record_signal(life, HealthSignal::Lost, Millis(self.now));
             }
         }
     }
@@ -198,7 +198,7 @@
         for place in std::mem::take(&mut self.down) {
             let life = &self.endpoints[place].life;
             for entry in &mut self.entries {
-                entry.note(life, Sign::Good, Millis(self.now));
+                entry.record_signal(life, HealthSignal::Success, Millis(self.now));
             }
         }
     }
@@ -263,7 +263,7 @@
         // A gap of whole ms.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let gap = Millis(kind.targets().1 as u64);
-        let ask = Ask {
+        let ask = RequestProfile {
             work: Some(&work),
             engine: Some(plan::Engine {
                 slots: 64,
@@ -331,16 +331,16 @@
                     sent.longest_pause = sent.longest_pause.max(at - last);
                 } else {
                     sent.first = at - sent.at;
-                    entry.answered(&sent.ticket, false, now);
-                    entry.report(sent.ticket.endpoint(), report, now);
+                    entry.record_first_byte(&sent.ticket, false, now);
+                    entry.record_report(sent.ticket.endpoint(), report, now);
                 }
-                entry.event(&sent.ticket, Make::MIDDLING.event_tokens, now);
+                entry.record_event(&sent.ticket, Make::MIDDLING.event_tokens, now);
             }
             Happening::Ended(number) => {
                 let sent = self.sent.remove(&number).expect("it is with the engine");
                 let entry = &mut self.entries[sent.entry];
                 let is_steady = sent.kind == Kind::Narration;
-                entry.ended("engines", is_steady, sent.is_late(), now);
+                entry.record_stream_end("engines", is_steady, sent.is_late(), now);
                 entry.end(&sent.ticket, now);
                 self.ended.push(sent);
             }
@@ -367,9 +367,9 @@
     }
 
     fn tell_one(&mut self, from: usize, to: usize, now: u64) {
-        let tidings = self.entries[from].tidings(MOST_SHARES, Millis(now));
+        let tidings = self.entries[from].gossip(MOST_SHARES, Millis(now));
         let name = name::Entry::from(format!("entry-{from}"));
-        self.entries[to].tell(&name, &tidings, Millis(now));
+        self.entries[to].apply_gossip(&name, &tidings, Millis(now));
     }
 }
 
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -7,9 +7,9 @@
 use rand::Rng;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
+use woodgap_core::relay::active_plan::Offer;
 use woodgap_core::relay::dating::Dating;
 use woodgap_core::relay::duty::{self, Duty, LOOK, Subject};
-use woodgap_core::relay::force::Offer;
 use woodgap_core::relay::roster::{Change, Endpoint};
 use woodgap_core::relay::{Plan, Table};
 
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -175,11 +175,11 @@
 
     fn message(&mut self, number: u64, is_answer: bool) -> Message {
         let now = self.state.now();
-        let tidings = self.state.loads.borrow().tidings(MOST_SHARES, now);
+        let tidings = self.state.loads.borrow().gossip(MOST_SHARES, now);
         let mut message = Message {
             told: self.told(),
             tidings,
-            rests: self.state.rests.borrow().tell(now),
+            rests: self.state.rests.borrow().report(now),
             ..self.bare(number, is_answer)
         };
         let suspects = self.state.quarantine.borrow_mut().tell(MOST_SUSPECTS, now);
@@ -313,7 +313,7 @@
         }
         if message.number != message::FAREWELL {
             let mut loads = self.state.loads.borrow_mut();
-            loads.tell(&message.from.name, &message.tidings, now);
+            loads.apply_gossip(&message.from.name, &message.tidings, now);
         }
         // Only the duties go by the time on which entries agree.
         if self.state.settings.duties.is_some() {
@@ -324,7 +324,7 @@
         if let Some(claim) = &message.claim {
             self.state.take_claim(claim.clone());
         }
-        self.state.rests.borrow_mut().told(&message.rests, now);
+        self.state.rests.borrow_mut().merge(&message.rests, now);
         self.state.told_of_crashes(&message.suspects);
         if message.knows.withheld {
             self.state.has_read_withheld.set(true);
--- a/crates/relay/src/gossip/message.rs
+++ b/crates/relay/src/gossip/message.rs
@@ -48,7 +48,7 @@
     /// The sender's load.
     pub tidings: Tidings,
     /// How long connections to endpoints may rest, as the sender has found out.
-    pub rests: Vec<rest::Told>,
+    pub rests: Vec<rest::IdleLimit>,
     /// Requests that endpoints crashed with.
     pub suspects: Vec<quarantine::Told>,
     /// The sender's time of day, in ms since the Unix epoch.
--- a/crates/relay/src/request/account.rs
+++ b/crates/relay/src/request/account.rs
@@ -5,8 +5,8 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::relay::Work;
-use woodgap_core::relay::division;
 use woodgap_core::relay::engine::Choice;
+use woodgap_core::relay::partition;
 use woodgap_core::relay::plan::Route;
 
 use crate::request::Problem;
@@ -111,8 +111,8 @@
     /// Notes what the request asks of a model engine.
     pub fn work(&mut self, work: &Work) {
         self.promise.prompt_tokens = work.prompt_tokens;
-        self.promise.output_tokens = work.output();
-        self.promise.is_steady = Some(division::is_steady(work));
+        self.promise.output_tokens = work.expected_output();
+        self.promise.is_steady = Some(partition::is_decode_heavy(work));
     }
 
     /// Notes the service and the workspace.
@@ -212,7 +212,7 @@
         if let Some(is_steady) = self.promise.is_steady {
             let now = self.state.now();
             let mut loads = self.state.loads.borrow_mut();
-            loads.ended(&self.service, is_steady, is_late, now);
+            loads.record_stream_end(&self.service, is_steady, is_late, now);
         }
     }
 
@@ -234,7 +234,7 @@
             .observe(took.0 as f64);
         let choice = self.choice.as_ref();
         let figure = |of: fn(&Choice) -> f64| choice.map_or(0.0, of).round();
-        let source = choice.and_then(|it| it.source.as_ref());
+        let source = choice.and_then(|it| it.prompt_source.as_ref());
         let Promise {
             target,
             gap,
@@ -250,10 +250,10 @@
             route = self.route, plan = self.plan.0, plan_age_ms = self.plan.1.0,
             service = self.service, workspace = self.workspace, sends = self.sends,
             endpoint = self.endpoint, reused = self.reused,
-            expected_wait_ms = figure(|it| it.wait), cost_ms = figure(|it| it.cost),
+            expected_wait_ms = figure(|it| it.expected_wait), cost_ms = figure(|it| it.cost),
             queue_ms = figure(|it| it.queue), running = figure(|it| it.running),
-            unread_tokens = figure(|it| it.unread), expected_run_ms = figure(|it| it.run),
-            kept_tokens = choice.map_or(0, |it| it.kept),
+            unread_tokens = figure(|it| it.prefill_tokens), expected_run_ms = figure(|it| it.stream_time),
+            kept_tokens = choice.map_or(0, |it| it.cached_tokens),
             prompt_source = source.map_or("", |it| it.life.id.as_str()),
             target_ms = target.0, gap_ms = gap.0, longest_pause_ms = self.longest_pause.0,
             prompt_tokens = prompt_tokens, output_tokens = output_tokens,
--- a/crates/relay/src/request/answer.rs
+++ b/crates/relay/src/request/answer.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::health::HealthSignal;
 
 use crate::request::Account;
 use crate::request::attempt::Failure;
@@ -173,11 +173,11 @@
     }
 }
 
-fn sign(status: StatusCode) -> Sign {
+fn sign(status: StatusCode) -> HealthSignal {
     if status.is_server_error() {
-        Sign::Bad
+        HealthSignal::Failure
     } else {
-        Sign::Good
+        HealthSignal::Success
     }
 }
 
--- a/crates/relay/src/request/attempt.rs
+++ b/crates/relay/src/request/attempt.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 use woodgap_core::clock::Millis;
 use woodgap_core::relay::engine::Choice;
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::health::HealthSignal;
 use woodgap_core::verdict::Verdict;
 
 use crate::dialect::{Decline, Reply};
@@ -100,11 +100,11 @@
     }
 }
 
-fn sign(failure: &Failure) -> Sign {
+fn sign(failure: &Failure) -> HealthSignal {
     match failure {
-        Failure::Unsent(_) => Sign::Lost,
-        Failure::Declined(_) => Sign::Good,
-        Failure::Cut(_) | Failure::Broken(_) | Failure::TimedOut => Sign::Bad,
+        Failure::Unsent(_) => HealthSignal::Lost,
+        Failure::Declined(_) => HealthSignal::Success,
+        Failure::Cut(_) | Failure::Broken(_) | Failure::TimedOut => HealthSignal::Failure,
     }
 }
 
@@ -145,7 +145,10 @@
     let reply = state.dialect.reply(&answer);
     if let Some(load) = reply.load {
         let now = state.now();
-        state.loads.borrow_mut().report(place.endpoint(), load, now);
+        state
+            .loads
+            .borrow_mut()
+            .record_report(place.endpoint(), load, now);
     }
     // A connection on which something came unasked is not used again.
     let rest = if surplus == 0 {
@@ -172,9 +175,9 @@
     let now = state.now();
     let service = request.service.name.as_str();
     let mut rests = state.rests.borrow_mut();
-    let before = rests.most(service, now);
-    rests.lost(service, rested, now - sent, now);
-    let most = rests.most(service, now);
+    let before = rests.max_idle(service, now);
+    rests.record_loss(service, rested, now - sent, now);
+    let most = rests.max_idle(service, now);
     if most != before {
         log::info!(
             service = service, most_ms = most.map_or(0, |most| most.0), rested_ms = rested.0;
@@ -192,7 +195,7 @@
     let endpoint = &choice.endpoint;
     account.choose(choice);
     let now = state.now();
-    let most = state.rests.borrow().most(&endpoint.service, now);
+    let most = state.rests.borrow().max_idle(&endpoint.service, now);
     let resting = state.pool.borrow_mut().take(&endpoint.life, most, now);
     if let Some(resting) = resting {
         return Ok(resting);
--- a/crates/relay/src/request/forward.rs
+++ b/crates/relay/src/request/forward.rs
@@ -58,7 +58,7 @@
         endpoint: &choice.endpoint.life.id,
         workspace: request.workspace.as_deref().map(|it| it.name.as_str()),
         urgency: request.urgency,
-        source: choice.source.as_ref().map(|it| it.address),
+        source: choice.prompt_source.as_ref().map(|it| it.address),
     };
     state.dialect.stamp(&stamp, &mut |name, value| {
         headers.push((name, value.into_bytes()));
--- a/crates/relay/src/request/place.rs
+++ b/crates/relay/src/request/place.rs
@@ -9,7 +9,7 @@
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
 use woodgap_core::relay::engine::{Choice, Ticket};
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::health::HealthSignal;
 
 use crate::request::Admitted;
 use crate::request::crash::{self, Suspect};
@@ -60,7 +60,7 @@
             is_plain: ask.work.is_none(),
             workspace: request.workspace.as_ref().map(|it| it.name.as_str().into()),
             has_begun: Cell::new(false),
-            expected: choice.wait,
+            expected: choice.expected_wait,
             event_tokens: ask.engine.map_or(0, |engine| engine.event_tokens),
         }
     }
@@ -74,7 +74,7 @@
     pub fn answered(&self) {
         let now = self.state.now();
         let mut loads = self.state.loads.borrow_mut();
-        loads.answered(&self.ticket, self.is_plain, now);
+        loads.record_first_byte(&self.ticket, self.is_plain, now);
     }
 
     /// Notes that the endpoint has begun to run the request, for the report of use.
@@ -91,20 +91,23 @@
         if self.event_tokens > 0 {
             let now = self.state.now();
             let mut loads = self.state.loads.borrow_mut();
-            loads.event(&self.ticket, self.event_tokens, now);
+            loads.record_event(&self.ticket, self.event_tokens, now);
         }
     }
 
     /// Notes what the attempt tells of the endpoint.
-    pub fn note(&self, sign: Sign) {
+    pub fn note(&self, sign: HealthSignal) {
         let now = self.state.now();
         let endpoint = self.ticket.endpoint();
-        self.state.loads.borrow_mut().note(endpoint, sign, now);
+        self.state
+            .loads
+            .borrow_mut()
+            .record_signal(endpoint, sign, now);
     }
 
     /// Notes that the answer can't be read to its end.
     pub fn failed(&self, error: &Error) {
-        self.note(Sign::Bad);
+        self.note(HealthSignal::Failure);
         if matches!(error, Error::Cut(_)) {
             self.broke_off();
         }
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -8,8 +8,8 @@
 use actix_http::body::BoxBody;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::Ask;
-use woodgap_core::relay::admission::{self, Claim, Verdict as Admission};
+use woodgap_core::relay::RequestProfile;
+use woodgap_core::relay::admission::{self, Decision as Admission, LatencyRequirement};
 use woodgap_core::relay::duty;
 use woodgap_core::relay::engine::Choice;
 use woodgap_core::relay::plan::Kind;
@@ -38,8 +38,8 @@
 
 impl Admitted {
     /// What is to be sent, for the choice of an endpoint.
-    pub fn ask(&self) -> Ask<'_> {
-        Ask {
+    pub fn ask(&self) -> RequestProfile<'_> {
+        RequestProfile {
             work: self.call.work.as_ref(),
             engine: self.service.engine,
             gap: self.route.gap,
@@ -47,11 +47,11 @@
     }
 
     /// What its caller waits for.
-    fn claim(&self, now: Millis) -> Claim {
-        Claim {
+    fn claim(&self, now: Millis) -> LatencyRequirement {
+        LatencyRequirement {
             is_stream: self.route.kind == Kind::Stream,
             target: self.route.target,
-            left: self.deadline - now,
+            remaining: self.deadline - now,
         }
     }
 }
@@ -148,7 +148,7 @@
     }
     let entries = state.fleet.borrow().size();
     let mut loads = state.loads.borrow_mut();
-    let in_use = loads.in_use(usable, &request.ask(), entries, now);
+    let in_use = loads.active_subset(usable, &request.ask(), entries, now);
     let limit = connection_limit(state, request);
     let open: Vec<_> = in_use
         .into_iter()
@@ -166,10 +166,13 @@
         return Err(Problem::stopping());
     }
     match admission::decide(&choice, claim, rand::random()) {
-        Admission::Take => Ok(choice),
+        Admission::Admit => Ok(choice),
         Admission::Refuse(retry_after) => {
-            let bound = claim.bound_for(&choice);
-            let message = format!("the expected wait is {:.0} ms of {bound}", choice.wait);
+            let bound = claim.max_wait_for(&choice);
+            let message = format!(
+                "the expected wait is {:.0} ms of {bound}",
+                choice.expected_wait
+            );
             Err(Problem::not_run(Code::Overloaded, message).retry_after(retry_after))
         }
     }
@@ -216,7 +219,7 @@
 fn ends_in_time(state: &State, request: &Admitted, choice: &Choice, now: Millis) -> bool {
     let end = End {
         latest: request.deadline,
-        forecast: choice.likely_end(request.route.kind == Kind::Stream, now),
+        forecast: choice.estimated_end(request.route.kind == Kind::Stream, now),
     };
     let shutdown = state.shutdown();
     shutdown.is_none_or(|shutdown| shutdown.takes(end, now))
@@ -291,7 +294,7 @@
                     Failure::Declined(Decline::Full) => Code::Overloaded,
                     _ => Code::NoEndpoint,
                 };
-                Problem::not_run(code, message).retry_after(admission::SOONEST)
+                Problem::not_run(code, message).retry_after(admission::MIN_RETRY_AFTER)
             }
             Some(_) if now >= request.deadline => Problem::may_have_run(Code::Timeout, message),
             Some(_) => Problem::may_have_run(Code::EndpointFailed, message),
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -9,16 +9,16 @@
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
 use woodgap_core::quarantine::{Change, Crash, Quarantine, Told};
-use woodgap_core::relay::budget::{Bound, Budget};
+use woodgap_core::relay::budget::{RetryBudget, RetryLimit};
 use woodgap_core::relay::claim::Claim;
 use woodgap_core::relay::duty::{self, Duty, Knows, Standing, Subject};
-use woodgap_core::relay::engine::Loads;
+use woodgap_core::relay::engine::LoadBalancer;
 use woodgap_core::relay::fleet::{Fleet, Member};
-use woodgap_core::relay::rest::Rests;
+use woodgap_core::relay::rest::IdleLimits;
 use woodgap_core::relay::shutdown::Shutdown;
 use woodgap_core::relay::true_time::Readings;
 use woodgap_core::relay::usage::{Meter, Sums, Window};
-use woodgap_core::relay::{Evacuation, Force, Roster, warming};
+use woodgap_core::relay::{ActivePlan, Evacuation, Roster, warming};
 use woodgap_platform::clock::Clock;
 use woodgap_settings::relay::Relay as Settings;
 
@@ -72,7 +72,7 @@
     /// What the duties of one entry at a time need, where there are any.
     pub duties: Option<duties::Form>,
     /// The plan in force.
-    pub force: RefCell<Force>,
+    pub force: RefCell<ActivePlan>,
     /// The data centres that operators empty.
     pub evacuation: RefCell<Evacuation>,
     /// The endpoints.
@@ -80,11 +80,11 @@
     /// What was sent to cold ones.
     pub warmed: RefCell<warming::Sent>,
     /// Their load.
-    pub loads: RefCell<Loads>,
+    pub loads: RefCell<LoadBalancer>,
     /// Connections to them.
     pub pool: RefCell<Pool>,
     /// How long those may rest.
-    pub rests: RefCell<Rests>,
+    pub rests: RefCell<IdleLimits>,
     /// The other entries.
     pub fleet: RefCell<Fleet>,
     /// Where the platform says that other entries take messages.
@@ -139,7 +139,7 @@
     /// Whether those that wait for an answer are told that there will be none.
     closing: watch::Sender<bool>,
     has_ended: Cell<bool>,
-    budgets: RefCell<HashMap<String, Budget>>,
+    budgets: RefCell<HashMap<String, RetryBudget>>,
 }
 
 impl State {
@@ -162,7 +162,10 @@
             evacuation: RefCell::default(),
             warmed: RefCell::default(),
             roster: RefCell::new(Roster::new(reserve)),
-            loads: RefCell::new(Loads::new(settings.data_centre.clone(), rand::random())),
+            loads: RefCell::new(LoadBalancer::new(
+                settings.data_centre.clone(),
+                rand::random(),
+            )),
             pool: RefCell::default(),
             rests: RefCell::default(),
             fleet: RefCell::new(Fleet::new(
@@ -465,24 +468,24 @@
 
     /// Counts a caller's request for a service.
     pub fn count_request(&self, service: &str) {
-        self.with_budget(service, |budget| budget.request(self.now()));
+        self.with_budget(service, |budget| budget.record_request(self.now()));
     }
 
     /// Takes one repeat from the service's budget, if there is one left.
     pub fn spend_repeat(&self, service: &str) -> bool {
         let entries = self.fleet.borrow().size();
-        self.with_budget(service, |budget| budget.spend(self.now(), entries))
+        self.with_budget(service, |budget| budget.try_spend(self.now(), entries))
     }
 
-    fn with_budget<T>(&self, service: &str, work: impl FnOnce(&mut Budget) -> T) -> T {
+    fn with_budget<T>(&self, service: &str, work: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let bounds = &self.settings.bounds;
-        let bound = Bound {
+        let bound = RetryLimit {
             ratio: bounds.repeat_ratio,
             slack: bounds.repeat_slack,
             window: bounds.repeat_window,
         };
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned());
-        work(budget.or_insert_with(|| Budget::new(bound)))
+        work(budget.or_insert_with(|| RetryBudget::new(bound)))
     }
 }
--- a/crates/relay/src/upkeep.rs
+++ b/crates/relay/src/upkeep.rs
@@ -5,7 +5,7 @@
 
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::health::Sign;
+use woodgap_core::relay::health::HealthSignal;
 
 use crate::logs;
 use crate::request::crash;
@@ -38,7 +38,7 @@
     drop_gone(state, now);
     state.pool.borrow_mut().sweep(now);
     state.warmed.borrow_mut().expire(now);
-    let due = state.loads.borrow().due(now);
+    let due = state.loads.borrow().due_for_reconnect(now);
     for endpoint in due {
         try_again(state, endpoint);
     }
@@ -60,7 +60,7 @@
             crash::outlived(state, life);
         }
     }
-    state.loads.borrow_mut().forget(&gone);
+    state.loads.borrow_mut().remove(&gone);
 }
 
 /// Connects to a suspended endpoint, to see whether it is back: no request has
@@ -68,7 +68,7 @@
 fn try_again(state: &Rc<State>, endpoint: name::Life) {
     let known = state.roster.borrow().get(&endpoint).cloned();
     let Some(known) = known else {
-        state.loads.borrow_mut().forget(&[endpoint]);
+        state.loads.borrow_mut().remove(&[endpoint]);
         return;
     };
     if !state.connecting.borrow_mut().insert(endpoint.clone()) {
@@ -79,11 +79,11 @@
         let opened = Connection::open(known.address).await;
         let now = state.now();
         let sign = if opened.is_ok() {
-            Sign::Good
+            HealthSignal::Success
         } else {
-            Sign::Lost
+            HealthSignal::Lost
         };
-        state.loads.borrow_mut().note(&endpoint, sign, now);
+        state.loads.borrow_mut().record_signal(&endpoint, sign, now);
         if let Ok(connection) = opened {
             log::info!(endpoint = endpoint.id.as_str(); "an endpoint can be connected to again");
             state
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -5,9 +5,9 @@
 use woodgap_core::fingerprint::{self, Fingerprint};
 use woodgap_core::name;
 use woodgap_core::quarantine::{Crash, Quarantine};
-use woodgap_core::relay::Ask;
+use woodgap_core::relay::RequestProfile;
 use woodgap_core::relay::claim::Claim;
-use woodgap_core::relay::engine::Loads;
+use woodgap_core::relay::engine::LoadBalancer;
 use woodgap_core::relay::fleet::Member;
 use woodgap_core::relay::plan::Engine;
 use woodgap_core::relay::roster::{Change, Endpoint};
@@ -46,8 +46,8 @@
 }
 
 /// The load of an entry that has long prompts at so many engines of each service.
-fn busy(services: usize, engines: usize) -> Loads {
-    let mut loads = Loads::new(name::DataCentre::from("a"), 1);
+fn busy(services: usize, engines: usize) -> LoadBalancer {
+    let mut loads = LoadBalancer::new(name::DataCentre::from("a"), 1);
     for number in 0..services * engines {
         let endpoint = Endpoint {
             life: name::Life::from(name::Endpoint::from(format!("i-{number}"))),
@@ -64,7 +64,7 @@
             output_limit: 1_000_000,
             ..Work::default()
         };
-        let ask = Ask {
+        let ask = RequestProfile {
             work: Some(&work),
             engine: Some(Engine {
                 slots: 64,
@@ -77,7 +77,7 @@
         let choice = loads.choose(&[&endpoint], &ask, Millis(0));
         let ticket = loads.begin(&choice.expect("it is open"), &ask, Millis(0));
         for event in 0..20 {
-            loads.event(&ticket, 4, Millis(event * 900));
+            loads.record_event(&ticket, 4, Millis(event * 900));
         }
     }
     loads
@@ -89,7 +89,7 @@
 #[case::some_services(4, 30)]
 #[case::all_models_of_a_large_site(22, 10)]
 fn a_message_fits_into_a_datagram(#[case] services: usize, #[case] engines: usize) {
-    let tidings = busy(services, engines).tidings(MOST_SHARES, Millis(18_000));
+    let tidings = busy(services, engines).gossip(MOST_SHARES, Millis(18_000));
     assert!(!tidings.shares.is_empty() && !tidings.works.is_empty());
     let message = Message {
         number: u64::MAX,
@@ -133,7 +133,7 @@
         },
         known: 300,
         told: Vec::new(),
-        tidings: busy(1, 20).tidings(MOST_SHARES, Millis(18_000)),
+        tidings: busy(1, 20).gossip(MOST_SHARES, Millis(18_000)),
         rests: Vec::new(),
         suspects: Vec::new(),
         unix: Millis(1),
@@ -175,7 +175,7 @@
     #[case] least: usize,
 ) {
     let mut message = question("e-1", "127.0.0.1:1".parse().unwrap(), IGNORANT);
-    message.tidings = busy(services, engines).tidings(MOST_SHARES, Millis(18_000));
+    message.tidings = busy(services, engines).gossip(MOST_SHARES, Millis(18_000));
     let mut quarantine = Quarantine::default();
     for number in 0_u32..40 {
         let request = fingerprint::Request {
