--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,8 +1,8 @@
-//! Decisions of the relay, which passes whole requests to endpoints by route.
+//! Decision logic of the relay, which forwards whole requests to endpoints by route.
 //!
-//! A [`Plan`] says which routes, services and workspaces there are; a [`Table`]
-//! is the plan made ready for look-ups. The rest decides on one request: which
-//! endpoint it goes to, whether it may be sent again, and what a caller is told.
+//! A [`Plan`] lists routes, services and workspaces; a [`Table`] is a plan indexed for
+//! look-ups. The other modules decide about a single request: which endpoint serves it,
+//! whether it may be retried, and which error its caller gets.
 
 pub mod active_plan;
 pub mod admission;
--- a/crates/core/src/relay/active_plan.rs
+++ b/crates/core/src/relay/active_plan.rs
@@ -1,14 +1,14 @@
-//! Which plan is in force, and until when it is known to be the newest.
+//! The active plan, and the time up to which it is known to be the newest.
 
 use std::sync::Arc;
 
 use crate::clock::Millis;
 use crate::relay::Table;
 
-/// The plan in force.
+/// The active plan.
 ///
-/// It moves forward only. `as_of` is the latest moment of which it is known that
-/// no newer plan had been accepted before it, on this process's own clock.
+/// Its version never decreases. `as_of` is the latest time, on this process's own clock,
+/// before which no newer plan is known to have been accepted.
 #[derive(Debug, Default)]
 pub struct ActivePlan {
     table: Option<Arc<Table>>,
@@ -18,31 +18,31 @@
 /// What became of a plan that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in force now.
+    /// It is now the active plan.
     Applied,
-    /// It was in force already.
+    /// It was the active plan already.
     Confirmed,
-    /// A newer one is in force.
+    /// A newer plan is active.
     Outdated,
 }
 
 impl ActivePlan {
-    /// The plan in force; none before the first was learnt.
+    /// The active plan; `None` until the first one is received.
     pub fn table(&self) -> Option<&Arc<Table>> {
         self.table.as_ref()
     }
 
-    /// The version in force; 0 before the first was learnt.
+    /// The active version; 0 until the first plan is received.
     pub fn version(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// How long ago the plan in force was known to be the newest.
+    /// The time since the active plan was last known to be the newest.
     pub fn age(&self, now: Millis) -> Millis {
         now - self.as_of
     }
 
-    /// Takes a plan that was the newest at `as_of`.
+    /// Activates a plan that was the newest at `as_of`, unless a newer one is active.
     pub fn offer(&mut self, table: Arc<Table>, as_of: Millis) -> Offer {
         match table.version().cmp(&self.version()) {
             std::cmp::Ordering::Less => return Offer::Outdated,
@@ -57,9 +57,9 @@
         Offer::Applied
     }
 
-    /// Notes that a version was the newest at `as_of`.
+    /// Records that a version was the newest at `as_of`.
     ///
-    /// Gives back whether it is newer than the one in force, and so to be fetched.
+    /// Returns whether that version is newer than the active one and has to be fetched.
     pub fn confirm(&mut self, version: u64, as_of: Millis) -> bool {
         if version == self.version() && self.table.is_some() {
             self.as_of = self.as_of.max(as_of);
--- a/crates/core/src/relay/budget.rs
+++ b/crates/core/src/relay/budget.rs
@@ -1,30 +1,30 @@
-//! The fleet's budget for sending requests once more.
+//! The fleet-wide retry budget.
 //!
-//! The bound holds for all entries together, so each spends only its own part:
-//! the ratio of the requests that it saw itself, and an equal share of the slack.
+//! The limit applies to all entries together, so each entry spends only its own share: the
+//! ratio of the requests that it received itself, plus an equal share of the slack.
 
 use std::collections::VecDeque;
 
 use crate::clock::Millis;
 
-/// The part of the bound that is spent: the rest is for windows whose edges lie
-/// otherwise than ours, and for entries that we don't know of yet.
+/// The share of the limit that is used. The rest is a reserve for windows that are aligned
+/// differently, and for entries that are not known yet.
 const USABLE_SHARE: f64 = 0.8;
-/// The steps in which a window slides, as a part of its length.
+/// The number of steps into which the sliding window is divided.
 const STEPS_PER_WINDOW: u64 = 20;
 
-/// The bound as operators set it.
+/// The retry limit as configured by operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats beyond that, for the whole fleet.
+    /// Additional retries for the whole fleet.
     pub slack: f64,
-    /// The span that both count for.
+    /// The time window that both apply to.
     pub window: Millis,
 }
 
-/// One service's budget at one entry.
+/// The retry budget of one service at one entry.
 #[derive(Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
@@ -39,11 +39,11 @@
 }
 
 impl RetryBudget {
-    /// An untouched budget.
+    /// Creates a budget of which nothing is spent.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::budget::{RetryLimit, RetryBudget};
+    /// use woodgap_core::relay::budget::{RetryBudget, RetryLimit};
     ///
     /// let limit = RetryLimit { ratio: 0.0, slack: 5.0, window: Millis(10_000) };
     /// let mut budget = RetryBudget::new(limit);
@@ -59,12 +59,13 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a request from a caller.
     pub fn record_request(&mut self, now: Millis) {
         self.current_step(now).requests += 1;
     }
 
-    /// Takes one repeat, if the budget of an entry among `entries` has one left.
+    /// Takes one retry from the budget if one is left for this entry, which is one of
+    /// `entries`.
     pub fn try_spend(&mut self, now: Millis, entries: usize) -> bool {
         self.evict_expired(now);
         let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -1,8 +1,8 @@
-//! Which endpoint a request is sent to.
+//! Selection of the endpoint for a request.
 //!
-//! Each entry judges by what it has in flight itself, by what the others tell of
-//! theirs, by the load that endpoints report in their answers, and by the prompt
-//! parts that it believes them to keep. Times and costs are in milliseconds.
+//! Each entry estimates the load of endpoints from its own requests in flight, the load that
+//! other entries report, the load that endpoints report in their answers, and the prompt parts
+//! that it expects in their caches. Times and costs are in milliseconds.
 
 mod candidates;
 mod choice;
@@ -28,10 +28,10 @@
 use load::Load;
 use subset::ActiveSubset;
 
-/// The time for one request at a plain service, before any was seen, in ms.
+/// The assumed time for one request at a plain service until samples arrive, in ms.
 const DEFAULT_SERVICE_TIME: f64 = 20.0;
 
-/// A request that was sent; given back at its end.
+/// A request that was sent, to be passed to [`LoadBalancer::end`] when it ends.
 #[derive(Debug)]
 pub struct Ticket {
     endpoint: name::Life,
@@ -39,33 +39,33 @@
 }
 
 impl Ticket {
-    /// Where it was sent.
+    /// The endpoint that it was sent to.
     pub fn endpoint(&self) -> &name::Life {
         &self.endpoint
     }
 }
 
-/// What is known of all endpoints' load.
+/// The known load of all endpoints, by which the best one for a request is selected.
 #[derive(Debug)]
 pub struct LoadBalancer {
     data_centre: name::DataCentre,
-    /// By life: one that starts again under its name begins with nothing.
+    /// By life: an endpoint that restarts under the same name starts without state.
     endpoints: HashMap<name::Life, Load>,
-    /// The usual time of a plain service, in ms.
+    /// The average time of a request to a plain service, in ms.
     service_time: HashMap<String, DecayingAverage>,
     demand_by_service: HashMap<String, Demand>,
     speeds: HashMap<String, EngineSpeed>,
-    /// How many engines of each service are in use.
+    /// The engines of each service that are in use.
     subsets: HashMap<String, ActiveSubset>,
     peers: Others,
     next_number: u64,
-    /// Where the draws of engines begin: entries draw differently.
+    /// The seed of the random samples of engines; each entry samples differently.
     seed: u64,
     draws: u64,
 }
 
 impl LoadBalancer {
-    /// Nothing is known yet, at an entry of this data centre.
+    /// Creates a balancer without any samples, for an entry in this data centre.
     pub fn new(data_centre: name::DataCentre, seed: u64) -> Self {
         Self {
             data_centre,
@@ -81,18 +81,18 @@
         }
     }
 
-    /// What is known of the speed of a service's engines.
+    /// The estimated speed of a service's engines.
     fn speed(&self, service: &str) -> EngineSpeed {
         self.speeds.get(service).cloned().unwrap_or_default()
     }
 
-    /// Whether requests are kept away from an endpoint.
+    /// Whether an endpoint currently gets no requests.
     pub fn is_suspended(&self, endpoint: &name::Life) -> bool {
         let load = self.endpoints.get(endpoint);
         load.is_some_and(|load| load.health.is_suspended())
     }
 
-    /// The suspended endpoints that it is time to connect to.
+    /// The suspended endpoints for which a connection attempt is due.
     pub fn due_for_reconnect(&self, now: Millis) -> Vec<name::Life> {
         let all = self.endpoints.iter();
         let due = all.filter(|(_, load)| load.health.is_reconnect_due(now));
@@ -103,7 +103,7 @@
         self.endpoints.get(endpoint).map_or(0, Load::running)
     }
 
-    /// Notes that a request goes to the chosen endpoint.
+    /// Records that a request is sent to the selected endpoint.
     pub fn begin(&mut self, choice: &Choice, profile: &RequestProfile<'_>, now: Millis) -> Ticket {
         self.next_number += 1;
         let endpoint = &choice.endpoint;
@@ -129,7 +129,7 @@
         demand.record_request(profile, prefill_tokens, now);
     }
 
-    /// Notes the first byte of an answer.
+    /// Records the first byte of an answer.
     pub fn record_first_byte(&mut self, ticket: &Ticket, is_plain: bool, now: Millis) {
         let Some(load) = self.endpoints.get_mut(&ticket.endpoint) else {
             return;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Notes an event of a stream that holds so many tokens.
+    /// Records an event of a stream that contains this many tokens.
     pub fn record_event(&mut self, ticket: &Ticket, tokens: u32, now: Millis) {
         let Some(load) = self.endpoints.get_mut(&ticket.endpoint) else {
             return;
@@ -160,8 +160,8 @@
         speed.record_token(load.running() as f64 + others.running, token_time);
     }
 
-    /// Notes how a stream of a service ended: whether it was late, or turned away since
-    /// it would have been.
+    /// Records the end of a stream of a service: whether it was late, or was refused because
+    /// it would have been late.
     pub fn record_stream_end(
         &mut self,
         service: &str,
@@ -174,8 +174,9 @@
         }
     }
 
-    /// How many engines the requests of so many entries to a service need at ease. Those that
-    /// were not heard lately are taken to have as much as the others.
+    /// The number of engines that the requests of all `entries` to a service need at the
+    /// target load. Entries without recent gossip are assumed to have as much demand as the
+    /// others.
     pub fn engines_needed(&self, service: &str, entries: usize, now: Millis) -> f64 {
         let own = self.demand_by_service.get(service);
         let own = own.map(|demand| demand.needed(now)).unwrap_or_default();
@@ -186,28 +187,28 @@
         tokens / share / self.speed(service).prefill_rate()
     }
 
-    /// Takes the load that an endpoint reported.
+    /// Records the load that an endpoint reported.
     pub fn record_report(&mut self, endpoint: &name::Life, report: Report, now: Millis) {
         if let Some(load) = self.endpoints.get_mut(endpoint) {
             load.record_report(report, now);
         }
     }
 
-    /// Takes in what a connection or an answer tells of an endpoint.
+    /// Records what a connection or an answer shows about an endpoint.
     pub fn record_signal(&mut self, endpoint: &name::Life, signal: HealthSignal, now: Millis) {
         if let Some(load) = self.endpoints.get_mut(endpoint) {
             load.record_signal(signal, now);
         }
     }
 
-    /// Takes the request off the endpoint's load.
+    /// Removes the request from the load of its endpoint.
     pub fn end(&mut self, ticket: &Ticket, now: Millis) {
         if let Some(load) = self.endpoints.get_mut(&ticket.endpoint) {
             load.end(ticket.number, now);
         }
     }
 
-    /// Forgets endpoints that are gone.
+    /// Removes endpoints that no longer exist.
     pub fn remove(&mut self, endpoints: &[name::Life]) {
         for endpoint in endpoints {
             self.endpoints.remove(endpoint);
--- a/crates/core/src/relay/engine/candidates.rs
+++ b/crates/core/src/relay/engine/candidates.rs
@@ -1,4 +1,4 @@
-//! Which engines are compared for one request.
+//! Selection of the engines that are compared for one request.
 
 use crate::name;
 use crate::relay::RequestProfile;
@@ -8,29 +8,29 @@
 use crate::relay::tidings;
 use crate::relay::work::Work;
 
-/// By how many entries' requests each engine is looked at, at a time: entries hear
-/// of one another late, and all of them would send to the one that seems to have
-/// the least to do.
+/// How many entries evaluate each engine at a time. Entries learn of each other's load with a
+/// delay; if all of them evaluated every engine, all would send to the one that seems least
+/// loaded.
 const EVALUATORS_PER_ENGINE: usize = 8;
-/// Of so many engines of either side the best is chosen, at least.
+/// The minimum number of engines sampled from each group.
 const MIN_SAMPLE: usize = 3;
 
-/// An engine, and whether it is for steady streams.
+/// An engine, and whether it serves decode-heavy streams.
 type Candidate<'e> = (&'e Endpoint, bool);
 
-/// The engines that all entries expect to keep shared parts of a prompt, without knowing
-/// anything else of them.
+/// The engines that all entries expect to have shared parts of a prompt in their caches,
+/// without any communication.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PrefixOwners<'e> {
-    /// Of all shared parts: the engine that all entries choose first for such prompts.
+    /// The engine for all shared parts together: all entries prefer it for such prompts.
     pub shared_prefix: Option<&'e name::Life>,
-    /// Of the first part, which the prompts of many subjects have in common: the engine
-    /// from which all entries have it taken.
+    /// The engine for the first part, which prompts of many subjects have in common: all
+    /// entries have the part fetched from it.
     pub first_part: Option<&'e name::Life>,
 }
 
 impl<'e> PrefixOwners<'e> {
-    /// Rendezvous hashing over the engines that the request is meant for.
+    /// Finds the owners by rendezvous hashing over the engines of the request's group.
     pub fn find(
         partition: &Partition<'e>,
         uses_decode_engines: bool,
@@ -61,8 +61,8 @@
     best.map(|it| &it.life)
 }
 
-/// The favourite, and some engines of either side that are drawn anew for each
-/// request: the more entries there are, the fewer.
+/// Returns the preferred engine and a random sample of each group. The sample is drawn anew
+/// for each request, and is smaller the more entries there are.
 pub(super) fn sample<'e>(
     partition: &Partition<'e>,
     preferred: Option<&name::Life>,
--- a/crates/core/src/relay/engine/choice.rs
+++ b/crates/core/src/relay/engine/choice.rs
@@ -1,4 +1,4 @@
-//! The choice itself: what a request would meet at each endpoint, and what it costs.
+//! Cost model and choice: the expected latency at each endpoint and its cost.
 
 use crate::clock::Millis;
 use crate::relay::RequestProfile;
@@ -14,74 +14,73 @@
 use crate::relay::roster::Endpoint;
 use crate::relay::work::Work;
 
-/// The price of making steady streams stall, in ms: above any wait.
+/// The cost of stalling decode-heavy streams, in ms: higher than any wait.
 const STALL_COST: f64 = 5_000.0;
-/// The price of an engine that is meant for the other sort of streams, in ms: so
-/// much longer a request waits on its own side before it goes there.
+/// The cost of an engine of the other group, in ms: a request waits this much longer in its
+/// own group before it is sent to the other one.
 const WRONG_GROUP_COST: f64 = 600.0;
-/// What an endpoint in another data centre costs, in ms: the round trip, and the
-/// bytes that are paid for between data centres. Reading a shared prompt again
-/// costs far more.
+/// The cost of an endpoint in another data centre, in ms: the round trip, and the traffic
+/// between data centres, which is paid for. Prefilling a shared prompt again costs far more.
 const REMOTE_COST: f64 = 5.0;
-/// What a certain failure would cost, in ms: about the time that a caller waits
-/// before it is too late for another try.
+/// The cost of a certain failure, in ms: about the time that a caller waits before it is too
+/// late for another attempt.
 const FAILURE_COST: f64 = 2_000.0;
-/// The price of each millisecond for which an answer is overdue, in ms.
+/// The cost of each millisecond for which an answer is overdue, in ms.
 const OVERDUE_COST: f64 = 3.0;
 
-/// Within so many times its forecast nearly every stream has ended: nine tenths of 5,692
-/// streams of a run under bursts took at most 1.96 times as long as forecast.
+/// Nearly all streams end within this multiple of their forecast: 90 % of 5,692 streams of a
+/// run with bursts took at most 1.96 times as long as forecast.
 const END_MARGIN: f64 = 2.0;
 
-/// A choice, with the figures that led to it.
+/// The selected endpoint, with the estimates that led to the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// Expected time until the first byte of the answer, in ms.
     pub expected_wait: f64,
-    /// The part of that which is known to be due to other requests, in ms.
+    /// The part of the wait that is known to be due to other requests, in ms.
     pub queue: f64,
-    /// Requests of this entry that are there.
+    /// Requests of this entry at the endpoint.
     pub own_running: usize,
-    /// Requests of all entries that are there, as far as is known.
+    /// Known requests of all entries at the endpoint.
     pub running: f64,
-    /// The time from the first event of its stream to the last, in ms.
+    /// The time from the first event of the stream to the last, in ms.
     pub stream_time: f64,
-    /// What the choice costs in all, in ms: the wait, and what others suffer.
+    /// The total cost of the choice, in ms: the wait, and the delay of other requests.
     pub cost: f64,
-    /// Prompt tokens that are believed to be kept there.
+    /// Prompt tokens that are expected to be cached there.
     pub cached_tokens: u32,
-    /// An engine that keeps more of the prompt, from which that is to be taken.
+    /// An engine that has more of the prompt in its cache, from which the parts are fetched.
     pub prompt_source: Option<Endpoint>,
-    /// Prompt tokens that the engine will have to read then, this request's included.
+    /// Prompt tokens that the engine has to prefill then, including those of this request.
     pub prefill_tokens: f64,
 }
 
 impl Choice {
-    /// Whether the answer is to be expected too late for a caller that waits so long.
+    /// Whether the answer is expected too late for a caller with this much time left.
     ///
-    /// What was learnt of an endpoint counts only while a request of this entry is
-    /// there to correct it; else it would be kept away from for ever.
+    /// The measured slowness of an endpoint counts only while a request of this entry is there
+    /// to correct it; otherwise the endpoint might be avoided forever.
     pub fn is_too_late(&self, remaining: Millis) -> bool {
         let remaining = remaining.0 as f64;
         self.queue > remaining || (self.own_running > 0 && self.expected_wait > remaining)
     }
 
-    /// When the answer is likely to have ended; none for a stream of unknown length.
+    /// The time by which the answer has probably ended; `None` for a stream of unknown length.
     pub fn estimated_end(&self, is_stream: bool, now: Millis) -> Option<Millis> {
         if is_stream && self.stream_time <= 0.0 {
             return None;
         }
         let duration = (self.expected_wait + self.stream_time) * END_MARGIN;
-        // A span of some seconds.
+        // A duration of some seconds.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let duration = Millis(duration as u64);
         Some(now + duration)
     }
 }
 
-/// What a request would meet at an endpoint, and what that costs in all, in ms.
+/// The estimate for a request at an endpoint, and its total cost in ms.
 #[derive(Clone, Copy, Debug)]
 struct CostedEstimate {
     estimate: Estimate,
@@ -89,7 +88,8 @@
 }
 
 impl LoadBalancer {
-    /// The best of the endpoints; none where all are suspended or there is none.
+    /// Selects the endpoint with the lowest cost; `None` if there is none or all are
+    /// suspended.
     pub fn choose(
         &mut self,
         endpoints: &[&Endpoint],
@@ -135,8 +135,8 @@
         })
     }
 
-    /// The engine from which the chosen one takes kept parts of a prompt, if engines give
-    /// them to one another.
+    /// The engine from which the selected one fetches cached parts of the prompt, if the
+    /// service's engines support such transfers.
     fn select_source<'e>(
         &self,
         engines: &[&'e Endpoint],
@@ -156,7 +156,7 @@
         best.serves(known).then_some(best.engine)
     }
 
-    /// Prompt tokens that an engine is believed to keep, as far as others could take them.
+    /// The prompt tokens expected in an engine's cache that other engines could fetch.
     fn available_from(&self, engine: &Endpoint, owners: PrefixOwners<'_>, work: &Work) -> f64 {
         let load = self.endpoints.get(&engine.life);
         let cached = expected_cached(load, work, owners.shared_prefix == Some(&engine.life));
@@ -172,14 +172,15 @@
         prefix::mix(self.seed, self.draws)
     }
 
-    /// How many unread tokens an engine may have before its steady streams stall.
+    /// The most tokens an engine may have left to prefill before its decode-heavy streams
+    /// stall.
     fn max_prefill_backlog(&self, endpoints: &[&Endpoint], speed: &EngineSpeed) -> f64 {
         let first = endpoints.first();
         let demand = first.and_then(|it| self.demand_by_service.get(&it.service));
         demand.map_or(f64::INFINITY, |demand| demand.max_prefill_backlog(speed))
     }
 
-    /// Divides the engines of a service between the two sorts of streams.
+    /// Divides the engines of a service between decode-heavy and prefill-heavy streams.
     fn partition<'e>(&mut self, endpoints: &[&'e Endpoint], now: Millis) -> Partition<'e> {
         let Some(first) = endpoints.first() else {
             return Partition::new(endpoints, 0);
@@ -223,7 +224,7 @@
         }
     }
 
-    /// What a request would meet at an endpoint of a plain service.
+    /// The estimate for a request at an endpoint of a plain service.
     fn estimate_service(&self, load: Option<&Load>, endpoint: &Endpoint, now: Millis) -> Estimate {
         let time = self.service_time.get(&endpoint.service);
         let time = time.map_or(DEFAULT_SERVICE_TIME, |time| time.value_at(now));
--- a/crates/core/src/relay/engine/gossip.rs
+++ b/crates/core/src/relay/engine/gossip.rs
@@ -1,4 +1,4 @@
-//! What an entry tells others of its engines, and takes from them.
+//! The load that entries report to each other.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -8,14 +8,14 @@
 use crate::relay::engine::LoadBalancer;
 use crate::relay::tidings::{self, Share, Tidings, Work};
 
-/// The most services whose work one message tells of: so that it fits into a datagram
-/// beside what is told of endpoints.
+/// The most services whose demand one message reports: it has to fit into a datagram together
+/// with the load of endpoints.
 const MAX_WORKS: usize = 10;
-/// In the room of one service's work, so many endpoints could be told of.
+/// The number of endpoint records that take as much space as the record of one service.
 const SHARES_PER_WORK: usize = 4;
 
 impl LoadBalancer {
-    /// This entry's load, for the others; of at most so many endpoints.
+    /// This entry's load for the others, with at most `max_shares` endpoints.
     pub fn gossip(&self, max_shares: usize, now: Millis) -> Tidings {
         let all = self.endpoints.iter();
         let busy = all.filter(|(_, load)| load.running() > 0);
@@ -34,7 +34,7 @@
         Tidings { shares, works }
     }
 
-    /// The work for each service, the heaviest first.
+    /// The demand for each service, the largest first.
     fn works(&self, now: Millis) -> Vec<Work> {
         let works = self.demand_by_service.iter().map(|(service, demand)| Work {
             service: tidings::key(service),
@@ -48,7 +48,7 @@
         works
     }
 
-    /// Takes what another entry tells of its load.
+    /// Takes in the load that another entry reports.
     pub fn apply_gossip(&mut self, entry: &name::Entry, tidings: &Tidings, now: Millis) {
         self.peers.tell(entry, tidings, now);
         for (service, speed) in &mut self.speeds {
@@ -71,9 +71,9 @@
     }
 }
 
-/// A span in ms as a whole number of tenths.
+/// Converts a duration in ms to tenths of a ms.
 fn tenths(span: f64) -> u16 {
-    // Clamped to what fits.
+    // Clamped to the range of the type.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let tenths = (span * 10.0).round().clamp(0.0, f64::from(u16::MAX)) as u16;
     tenths
--- a/crates/core/src/relay/engine/load.rs
+++ b/crates/core/src/relay/engine/load.rs
@@ -1,4 +1,4 @@
-//! What one endpoint has to do, as far as this entry knows.
+//! The known load of one endpoint.
 
 use std::collections::HashMap;
 
@@ -14,38 +14,37 @@
 use crate::relay::tidings::Elsewhere;
 use crate::relay::work::{Part, Work};
 
-/// The price of one running request to one more, in ms: each step of the engine
-/// takes about a tenth of a millisecond longer, over some tens of steps.
+/// The cost that one running request adds for another one, in ms: each step of the engine
+/// takes about 0.1 ms longer, over some tens of steps.
 const RUNNING_COST: f64 = 2.0;
-/// What a millisecond of reading a prompt costs the requests that come after it
-/// and the streams beside it, in ms.
+/// The cost of a millisecond of prefill, in ms, for the requests queued behind it and the
+/// streams decoded beside it.
 const PREFILL_COST: f64 = 8.0;
-/// The part of an engine's slots up to which one more request is no danger to
-/// those that run: above it, a burst that the entries see late may overfill the
-/// engine, and it would put requests back that had begun.
+/// The share of an engine's slots up to which another request does not endanger the running
+/// ones. Above it, a burst that entries notice late may overfill the engine, which then
+/// preempts requests that have begun.
 const CROWDING_THRESHOLD: f64 = 0.6;
-/// The price of each request above that, in ms: at a fifth of the slots more it
-/// exceeds the price of an engine of the other side.
+/// The cost of each request above the threshold, in ms: at a fifth of the slots more it
+/// exceeds the cost of an engine of the other group.
 const CROWDING_COST: f64 = 50.0;
-/// From so many tokens on, reading takes most of the time to the first event, so that
-/// this tells how fast an engine reads.
+/// From this many tokens on, prefill dominates the time to the first event, which then shows
+/// the prefill rate.
 const MIN_PREFILL_SAMPLE: f64 = 2_000.0;
-/// An answer that comes sooner, in ms, shows that the prompt was kept after all: to
-/// read so much takes longer on any engine.
+/// A faster answer, in ms, shows that the prompt was cached after all: prefilling so many
+/// tokens takes longer on any engine.
 const MIN_PREFILL_TIME: f64 = 5.0;
-/// What a millisecond costs for which a stream runs after its first event: it holds
-/// a place and memory that others wait for, and is lost if the engine is.
+/// The cost of a millisecond for which a stream runs after its first event: it holds a slot
+/// and memory that others wait for, and is lost if the engine fails.
 const STREAM_TIME_COST: f64 = 0.1;
-/// An answer is overdue after so many times its expected wait, and a span in ms
-/// that an endpoint may be busy with something else.
+/// An answer is overdue after this multiple of its expected wait plus a slack in ms for an
+/// endpoint that is briefly busy with something else.
 const OVERDUE_FACTOR: f64 = 2.0;
 const OVERDUE_SLACK: f64 = 200.0;
-/// The part of a shared prompt that the entries' common choice for it is
-/// believed to keep.
+/// The share of a shared prefix that is expected in the cache of its owner.
 const EXPECTED_CACHED_SHARE: f64 = 0.9;
-/// After so long a report of load counts for nothing.
+/// A load report counts for nothing after this time.
 const REPORT_LIFETIME: Millis = Millis(1_000);
-/// Bounds of the factor by which an endpoint is slower than expected.
+/// The range of the factor by which an endpoint is slower than expected.
 const SLOWNESS_RANGE: (f64, f64) = (0.5, 20.0);
 
 /// The load that an endpoint reported in an answer.
@@ -59,7 +58,7 @@
     pub slots: u32,
 }
 
-/// What one endpoint has to do.
+/// The load of one endpoint.
 #[derive(Debug)]
 pub(super) struct Load {
     pub service: String,
@@ -69,47 +68,48 @@
     pub token_timing: TokenTiming,
     in_flight: HashMap<u64, InFlight>,
     prefix_cache: PrefixCache,
-    /// The last report, the own requests there at the time, and the time.
+    /// The last report, the number of own requests there at that time, and the time.
     report: Option<(Report, usize, Millis)>,
 }
 
-/// One request that is with the endpoint.
+/// One request that is in flight at the endpoint.
 #[derive(Debug)]
 struct InFlight {
     began: Millis,
-    /// The wait that was expected, in ms.
+    /// The expected wait, in ms.
     expected: f64,
-    /// Prompt tokens that are not read yet.
+    /// Prompt tokens that are not prefilled yet.
     pending_prefill: u32,
-    /// Tokens of memory that it takes or will take.
+    /// Memory that it uses or will use, in tokens.
     reserved_tokens: u32,
     has_answered: bool,
-    /// What the engine had to read in all when it was sent, in tokens.
+    /// Prompt tokens that the engine had to prefill when the request was sent, its own
+    /// included.
     prefill_ahead: f64,
     last_event: Option<Millis>,
 }
 
-/// What a request would meet at an engine.
+/// The estimate for a request at one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
     /// Time until the first byte of its answer, in ms.
     pub expected_wait: f64,
-    /// The part of that which is known to be due to other requests, in ms.
+    /// The part of the wait that is known to be due to other requests, in ms.
     pub queue: f64,
-    /// What other requests suffer, in ms.
+    /// The delay of other requests, in ms.
     pub disturbance: f64,
-    /// Prompt tokens that are believed to be kept there.
+    /// Prompt tokens that are expected to be cached there.
     pub cached_tokens: u32,
-    /// Prompt tokens that the engine would have to read in all.
+    /// Prompt tokens that the engine would have to prefill in total.
     pub prefill_tokens: f64,
-    /// Requests there, of all entries.
+    /// Requests of all entries there.
     pub running: f64,
     /// The time from the first event to the last, in ms.
     pub stream_time: f64,
 }
 
 impl InFlight {
-    /// For how long, in ms, its answer is overdue.
+    /// The time for which its answer is overdue, in ms.
     fn overdue(&self, now: Millis) -> f64 {
         let deadline = self.expected * OVERDUE_FACTOR + OVERDUE_SLACK;
         ((now - self.began).0 as f64 - deadline).max(0.0)
@@ -117,8 +117,7 @@
 }
 
 impl Load {
-    /// An endpoint with nothing to do; one with so many tokens of memory, if it is
-    /// an engine.
+    /// Creates the state of an idle endpoint; `memory_tokens` is the memory of an engine.
     pub fn new(service: &str, memory_tokens: u32) -> Self {
         Self {
             service: service.to_owned(),
@@ -131,12 +130,12 @@
         }
     }
 
-    /// The own requests there.
+    /// The number of own requests there.
     pub fn running(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Prompt tokens of the own requests that are not read yet.
+    /// Prompt tokens of the own requests that are not prefilled yet.
     pub fn pending_prefill(&self) -> u32 {
         self.in_flight
             .values()
@@ -144,7 +143,7 @@
             .sum()
     }
 
-    /// Tokens of memory that the own requests take or will take.
+    /// Memory that the own requests use or will use, in tokens.
     pub fn reserved_tokens(&self) -> u32 {
         self.in_flight
             .values()
@@ -152,8 +151,8 @@
             .sum()
     }
 
-    /// For how long, in ms, the oldest request without an answer is overdue: the
-    /// first sign of an endpoint that accepts requests and does nothing.
+    /// The time, in ms, for which the most overdue request waits for its answer: the first
+    /// sign of an endpoint that accepts requests and does nothing.
     pub fn overdue(&self, now: Millis) -> f64 {
         let waiting = self
             .in_flight
@@ -163,7 +162,7 @@
         overdue.fold(0.0, f64::max)
     }
 
-    /// Requests of other entries there, by the last report; it fades with age.
+    /// Requests of other entries there by the last report, decreasing with its age.
     pub fn reported_others(&self, now: Millis) -> f64 {
         let Some((report, own, at)) = self.report else {
             return 0.0;
@@ -173,12 +172,12 @@
         (all - own as f64).max(0.0) * (1.0 - age).max(0.0)
     }
 
-    /// Takes the load that the endpoint reported.
+    /// Records the load that the endpoint reported.
     pub fn record_report(&mut self, report: Report, now: Millis) {
         self.report = Some((report, self.in_flight.len(), now));
     }
 
-    /// Takes a request on.
+    /// Adds a request.
     pub fn begin(
         &mut self,
         number: u64,
@@ -202,8 +201,8 @@
         self.in_flight.insert(number, request);
     }
 
-    /// Notes the first byte of an answer: the prompt is read. Gives back how long
-    /// it took, in ms; none if the request is not there.
+    /// Records the first byte of an answer, which ends the prefill. Returns how long it took,
+    /// in ms, or `None` if the request is unknown.
     pub fn record_first_byte(
         &mut self,
         number: u64,
@@ -224,7 +223,7 @@
         Some(took)
     }
 
-    /// Notes an event of a stream; gives back the pause before it, in ms.
+    /// Records an event of a stream. Returns the gap before it, in ms.
     pub fn record_event(&mut self, number: u64, now: Millis) -> Option<Millis> {
         let request = self.in_flight.get_mut(&number)?;
         let last = request.last_event.replace(now);
@@ -236,8 +235,8 @@
         self.slowness.value_at(now)
     }
 
-    /// Takes a request off. One that ends while its answer is overdue tells
-    /// against the endpoint, whoever ended it.
+    /// Removes a request. If its answer is overdue, that counts as a failure of the endpoint,
+    /// whichever side ended it.
     pub fn end(&mut self, number: u64, now: Millis) {
         let Some(request) = self.in_flight.remove(&number) else {
             return;
@@ -247,7 +246,7 @@
         }
     }
 
-    /// Takes in what a connection or an answer tells of the endpoint.
+    /// Records what a connection or an answer shows about the endpoint.
     pub fn record_signal(&mut self, signal: HealthSignal, now: Millis) {
         self.health.record(signal, now);
         if signal == HealthSignal::Lost {
@@ -256,7 +255,7 @@
     }
 }
 
-/// What a request would meet at an engine, with what other entries have there.
+/// The estimate for a request at an engine, including the load of other entries there.
 pub(super) fn estimate_engine(
     load: Option<&Load>,
     peers: Elsewhere,
@@ -278,7 +277,7 @@
     let baseline = speed.token_time(0.0);
     let token_time = load.map_or(baseline, |load| load.token_timing.token_time(baseline, now));
     let stream_time = f64::from(work.expected_output()) * token_time;
-    // A sum of tokens that came from whole numbers.
+    // A sum of tokens that were whole numbers.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let cached_tokens = cached_tokens as u32;
     let queue = (ahead + memory_shortfall) / prefill_rate + running * RUNNING_COST;
@@ -295,8 +294,8 @@
     }
 }
 
-/// Prompt tokens that an engine is believed to keep: what this entry sent there,
-/// or what all entries send to their common choice.
+/// Prompt tokens that are expected in an engine's cache: those that this entry sent there, or,
+/// on the preferred engine, the shared prefix that all entries send there.
 pub(super) fn expected_cached(load: Option<&Load>, work: &Work, is_preferred: bool) -> f64 {
     let known = f64::from(known_cached(load, work));
     if is_preferred {
@@ -306,12 +305,12 @@
     }
 }
 
-/// Prompt tokens that an engine keeps since this entry sent them there.
+/// Prompt tokens in an engine's cache because this entry sent them there.
 pub(super) fn known_cached(load: Option<&Load>, work: &Work) -> u32 {
     load.map_or(0, |load| load.prefix_cache.cached_tokens(&work.parts))
 }
 
-/// Prompt tokens of parts that the entries' common choice for them is believed to keep.
+/// Tokens of shared parts that are expected in the cache of their owner.
 pub(super) fn expected_shared(parts: &[Part]) -> f64 {
     let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
     EXPECTED_CACHED_SHARE * f64::from(tokens)
--- a/crates/core/src/relay/engine/subset.rs
+++ b/crates/core/src/relay/engine/subset.rs
@@ -1,11 +1,12 @@
-//! Which part of a service's engines is in use.
+//! The subset of a service's engines that is in use.
 //!
-//! The load pattern: thousands of engines, of which some hundred would do all the work, before
-//! entries that each see less than a request a second. Spread over all of them, no request
-//! meets an engine that has read its prompt's shared parts, nor an open connection, and each
-//! choice looks at thousands. So all entries use the first engines of one order that they
-//! share without asking: some times as many as the demand needs, in steps of two, so that
-//! entries that see the demand differently still use the same ones.
+//! A service may have thousands of engines, of which a hundred could do all the work, while
+//! each entry sees less than one request per second. Spread over all of them, no request would
+//! find an engine with its shared prompt parts in the cache, nor an open connection, and each
+//! choice would compare thousands of engines. All entries therefore use the first engines of
+//! an order that they share without communication. Their number is a multiple of what the
+//! demand needs and changes by factors of two, so that entries with different views of the
+//! demand still use the same engines.
 
 use crate::clock::Millis;
 use crate::relay::RequestProfile;
@@ -13,24 +14,24 @@
 use crate::relay::roster::Endpoint;
 use crate::relay::tidings;
 
-/// A smaller service uses all its engines: bursts begin before demand is known.
+/// Services with fewer engines use all of them: bursts begin before the demand is known.
 const MIN_ENGINES: usize = 256;
-/// How many times as many engines as are needed at ease are in use, at least: a third may be
+/// The minimum ratio of engines in use to engines needed at the target load: a third may be
 /// lost while demand doubles.
 const HEADROOM: f64 = 3.0;
-/// For how long demand must be low before fewer engines are used: bursts come in series.
+/// How long demand must be low before fewer engines are used: bursts come in series.
 const SHRINK_DELAY: Millis = Millis(30_000);
 
-/// How many engines of a service are in use.
+/// The number of engines of a service that are in use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveSubset {
     count: usize,
-    /// When half as many were too few last.
+    /// The last time at which half as many engines would have been too few.
     last_needed: Millis,
 }
 
 impl ActiveSubset {
-    /// As few as there ever are, from this moment on.
+    /// Starts with the smallest subset, as of `now`.
     pub fn new(now: Millis) -> Self {
         Self {
             count: MIN_ENGINES,
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Takes in how many engines are needed at ease; gives back how many are in use.
+    /// Adjusts the number of engines in use to the number needed at the target load, and
+    /// returns it.
     pub fn resize(&mut self, needed: f64, now: Millis) -> usize {
         let target = needed * HEADROOM;
         while self.count as f64 <= target {
@@ -56,8 +58,9 @@
 }
 
 impl LoadBalancer {
-    /// The engines that are in use among those of a service that may be; all endpoints of a
-    /// plain service, of which it is not known what it needs. So many entries share the demand.
+    /// Returns the engines in use among the usable ones of a service. Plain services use all
+    /// their endpoints, as their demand is unknown. The demand is spread over `entries`
+    /// entries.
     pub fn active_subset<'e>(
         &mut self,
         endpoints: Vec<&'e Endpoint>,
--- a/crates/core/src/relay/engine_speed.rs
+++ b/crates/core/src/relay/engine_speed.rs
@@ -1,37 +1,37 @@
-//! How fast the engines of a service are, as learnt from their streams.
+//! The speed of a service's engines, estimated from the timing of their streams.
 //!
-//! Engines differ: in how fast they read prompts, in how long a step takes and how much
-//! longer with each request, and within one service from one engine to the next. What
-//! is known of them comes from the moments at which first events and later ones arrive,
-//! so each figure is a median: it stands through a standstill of this process, through
-//! one bad engine, and through requests whose engine had more to do than was known.
+//! Engines differ in prefill rate, in the duration of a decoding step and its growth with each
+//! running request, and from one engine of a service to the next. The only data are the
+//! arrival times of first and later events, so each figure is a median: it is robust against a
+//! stall of this process, a single faulty engine, and requests whose engine had more work than
+//! was known.
 //!
-//! Worth of two days under load with engines that read some 30 tokens in a ms, three plays
-//! each: 0.70 and 0.57 with it, 0.69 and 0.55 with the 50 tokens that others read.
+//! Score over two days under load with engines that prefill about 30 tokens per ms, three runs
+//! each: 0.70 and 0.57 with the estimate, 0.69 and 0.55 with the default of 50 tokens per ms.
 
 use serde::{Deserialize, Serialize};
 
-/// Prompt tokens that an engine reads in a ms, before any was seen to: between those
-/// of large models (some tens) and of small ones (some hundreds).
+/// Prompt tokens that an engine prefills per ms, until samples arrive: between the rates of
+/// large models (tens) and of small ones (hundreds).
 const DEFAULT_PREFILL_RATE: f64 = 50.0;
-/// How long an engine takes for a token of a stream, in ms, before any was seen.
+/// The time that an engine takes per token of a stream, in ms, until samples arrive.
 const DEFAULT_TOKEN_TIME: f64 = 6.0;
-/// Running requests are counted in groups of so many: steps take longer the more
-/// there are, by about a hundredth of a step each.
+/// Running requests per group: steps take longer the more requests run, by about a hundredth
+/// of a step for each.
 const GROUP_SIZE: f64 = 16.0;
-/// How many groups are told apart; the last one holds all above.
+/// The number of groups; the last one has no upper bound.
 const GROUPS: usize = 5;
-/// By which part of itself a median moves with each sample. A change by half takes
-/// some twenty samples, the error that stays is below a twentieth.
+/// The relative change of a median with each sample. It follows a change by half within about
+/// twenty samples, and the remaining error is below a twentieth.
 const STEP: f64 = 0.04;
-/// From so many samples on, a median is better than what others tell.
+/// With this many samples, a median is better than the reports of other entries.
 const MIN_SAMPLES: u32 = 20;
-/// Bounds of what is learnt, in tokens per ms, and ms per token: beyond them lies no
-/// engine that was heard of, only errors of measurement.
+/// The plausible ranges, in tokens per ms and in ms per token. No known engine lies outside
+/// them, only measurement errors.
 const PREFILL_RATE_RANGE: (f64, f64) = (1.0, 2_000.0);
 const TOKEN_TIME_RANGE: (f64, f64) = (0.1, 500.0);
 
-/// A median that follows its samples.
+/// A running estimate of a median.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Median {
     value: f64,
@@ -39,13 +39,13 @@
 }
 
 impl Median {
-    /// What is known, if anything is.
+    /// The estimate, if there are any samples.
     fn get(self) -> Option<f64> {
         (self.samples > 0).then_some(self.value)
     }
 
     fn record(&mut self, sample: f64) {
-        // The first samples count for more: each is a part of all so far.
+        // The first samples have more weight, so that the estimate converges quickly.
         let step = STEP.max(1.0 / f64::from(self.samples + 1));
         self.value = if self.samples == 0 {
             sample
@@ -57,7 +57,7 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Takes another entry's figure for want of enough samples.
+    /// Takes another entry's figure while there are too few samples.
     fn adopt(&mut self, value: f64) {
         if self.samples < MIN_SAMPLES {
             self.value = value;
@@ -65,19 +65,19 @@
         }
     }
 
-    /// What others are told, once enough is known.
+    /// The figure for other entries, or 0 while there are too few samples.
     fn report(self) -> f32 {
         if self.samples < MIN_SAMPLES {
             return 0.0;
         }
-        // Seven digits are more than is known.
+        // The seven digits of an `f32` exceed the precision of the estimate.
         #[allow(clippy::cast_possible_truncation)]
         let value = self.value as f32;
         value
     }
 }
 
-/// What is learnt of the engines of one service.
+/// The estimated speed of one service's engines.
 ///
 /// ```
 /// use woodgap_core::relay::engine_speed::EngineSpeed;
@@ -94,7 +94,7 @@
     token_times: [Median; GROUPS],
 }
 
-/// What an entry tells others of a service's engines: 0 where nothing is known.
+/// The speed estimates that an entry sends to others: 0 stands for an unknown figure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpeedReport {
     prefill_rate: f32,
@@ -102,33 +102,33 @@
 }
 
 impl EngineSpeed {
-    /// Prompt tokens that an engine reads in a ms.
+    /// Prompt tokens that an engine prefills per ms.
     pub fn prefill_rate(&self) -> f64 {
         self.prefill_rate.get().unwrap_or(DEFAULT_PREFILL_RATE)
     }
 
-    /// How long a token takes, in ms, beside so many running requests and without a
-    /// prompt being read; where that was not seen, beside the next smaller number.
+    /// The time per token, in ms, with `running` requests and no concurrent prefill. Without
+    /// samples for that group, the next lower group with samples is used.
     pub fn token_time(&self, running: f64) -> f64 {
         let known = self.token_times[..=group(running)].iter().rev();
         let mut known = known.chain(&self.token_times);
         known.find_map(|it| it.get()).unwrap_or(DEFAULT_TOKEN_TIME)
     }
 
-    /// Learns that so many tokens, as far as was known, were read in so many ms.
+    /// Records that `tokens` prompt tokens, as far as known, were prefilled in `took` ms.
     pub fn record_prefill(&mut self, tokens: f64, took: f64) {
         let rate = tokens / took.max(1.0);
         self.prefill_rate
             .record(rate.clamp(PREFILL_RATE_RANGE.0, PREFILL_RATE_RANGE.1));
     }
 
-    /// Learns that a token took so many ms beside so many running requests.
+    /// Records that a token took `took` ms with `running` requests.
     pub fn record_token(&mut self, running: f64, took: f64) {
         let took = took.clamp(TOKEN_TIME_RANGE.0, TOKEN_TIME_RANGE.1);
         self.token_times[group(running)].record(took);
     }
 
-    /// What is known, for other entries.
+    /// The speed estimates for other entries.
     pub fn report(&self) -> SpeedReport {
         SpeedReport {
             prefill_rate: self.prefill_rate.report(),
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes what another entry tells where little is known yet: after a start.
+    /// Takes another entry's figures where this one has few samples, as after a start.
     pub fn adopt(&mut self, reported: &SpeedReport) {
         let own = self.token_times.iter_mut().chain([&mut self.prefill_rate]);
         let theirs = reported.token_times.iter().chain([&reported.prefill_rate]);
@@ -147,7 +147,7 @@
 }
 
 fn group(running: f64) -> usize {
-    // A count of requests.
+    // A small count of requests.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let group = (running / GROUP_SIZE) as usize;
     group.min(GROUPS - 1)
--- a/crates/core/src/relay/fading.rs
+++ b/crates/core/src/relay/fading.rs
@@ -1,18 +1,18 @@
-//! A figure learnt from samples, which fades to its usual value without them.
+//! A moving average that decays to a baseline without new samples.
 //!
-//! What was learnt while something was wrong must not outlive it: a figure that keeps
-//! requests away would get no sample that corrects it.
+//! Without the decay, a value learnt during a fault could outlive the fault: an endpoint that
+//! gets no requests because of a bad value yields no sample to correct it.
 
 use crate::clock::Millis;
 
-/// The weight of one sample: about the last ten count.
+/// The weight of one sample: about the last ten samples count.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// The span in which a figure without samples comes nearer to its usual value, to a
-/// third of the distance, in ms: many times the pause between two samples of one
-/// endpoint at one entry (about a second in use), else it would never learn enough.
+/// Time constant of the decay to the baseline, in ms. It is many times the interval between
+/// two samples of one endpoint at one entry (about a second in operation); with a short one,
+/// the average would never move far from the baseline.
 const DECAY_MS: f64 = 20_000.0;
 
-/// The figure.
+/// The average.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingAverage {
     baseline: f64,
@@ -21,7 +21,7 @@
 }
 
 impl DecayingAverage {
-    /// A figure without samples.
+    /// Creates an average without samples.
     pub fn new(baseline: f64) -> Self {
         Self {
             baseline,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The figure now.
+    /// The current value.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -46,7 +46,7 @@
         self.baseline + (self.value - self.baseline) * (-age / DECAY_MS).exp()
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn record(&mut self, sample: f64, now: Millis) {
         let before = self.value_at(now);
         self.value = before + SAMPLE_WEIGHT * (sample - before);
--- a/crates/core/src/relay/health.rs
+++ b/crates/core/src/relay/health.rs
@@ -1,23 +1,23 @@
-//! Whether an endpoint answers, judged by what its answers and connections show.
+//! Endpoint health, as observed from answers and connections.
 
 use crate::clock::Millis;
 
-/// The first pause after a lost connection: about two round trips of a connect
-/// within a region, so that a restart is noticed soon.
+/// The first backoff after a lost connection: about two round trips of a connect within a
+/// region, so that a restart is noticed soon.
 const INITIAL_BACKOFF: Millis = Millis(250);
-/// The longest pause between two tries.
+/// The longest backoff between two connection attempts.
 const MAX_BACKOFF: Millis = Millis(2_000);
-/// The weight of one attempt in the share of failures: about the last ten count.
+/// The weight of one attempt in the failure rate: about the last ten attempts count.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How an attempt at an endpoint ended, as far as it tells of the endpoint.
+/// What the result of an attempt shows about the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// It answered as it should, or declined as it should.
+    /// The endpoint answered, or declined, as it should.
     Success,
-    /// It answered with an error of its own, or not to the point, or too late.
+    /// The endpoint answered with an error of its own, with an invalid answer, or too late.
     Failure,
-    /// It can't be connected to, or does not answer at all.
+    /// No connection can be established, or the endpoint does not answer at all.
     Lost,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Health {
-    /// Takes in how an attempt ended.
+    /// Records the result of an attempt.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -62,17 +62,17 @@
         self.losses_since_success += 1;
     }
 
-    /// Whether requests are kept away until a connection comes about.
+    /// Whether the endpoint gets no requests until a connection succeeds.
     pub fn is_suspended(&self) -> bool {
         self.losses_since_success > 0
     }
 
-    /// Whether it is time for another try to connect.
+    /// Whether the next connection attempt is due.
     pub fn is_reconnect_due(&self, now: Millis) -> bool {
         self.is_suspended() && now >= self.suspended_until
     }
 
-    /// The share of its attempts that failed of late, from 0 to 1.
+    /// The recent share of failed attempts, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
--- a/crates/core/src/relay/lateness.rs
+++ b/crates/core/src/relay/lateness.rs
@@ -1,39 +1,41 @@
-//! Which part of the streams was late of late, and how that moves engines.
+//! The recent share of late streams, and how it shifts engines between the groups.
 //!
-//! The load pattern: the demand of both sorts of streams is known, but not what an
-//! engine of this make can do of each; the division of the engines is then right for
-//! some engines, and on others leaves one sort late while the other has room. Lateness
-//! tells which. All entries count it together, so that all divide alike.
+//! The demand of decode-heavy and prefill-heavy streams is known, but not what an engine of a
+//! given model achieves with each kind. The partition of the engines then fits some models,
+//! and on others makes one kind late while the other has capacity left. Lateness shows which
+//! kind that is. It is summed over all entries, so that all of them partition the engines
+//! alike.
 //!
-//! Worth of two days under load on 112 engines of 12 slots, a play each: 0.66 and 0.60
-//! with it, 0.61 and 0.54 without; on engines of 64 slots within chance.
+//! Score over two days under load on 112 engines of 12 slots, one run each: 0.66 and 0.60 with
+//! the correction, 0.61 and 0.54 without; on engines of 64 slots the difference is within
+//! noise.
 
 use serde::{Deserialize, Serialize};
 
-/// So many streams without lateness are added to those seen: one late stream among a
-/// few moves nothing.
+/// Streams assumed to be on time, added to those observed: one late stream among a few changes
+/// nothing.
 const PRIOR_ON_TIME: f32 = 10.0;
-/// How much more engines a sort gets, as a logarithm, if all of its streams are late
-/// and none of the other's.
+/// The logarithm of the factor for a kind's engines if all of its streams are late and none of
+/// the other kind.
 const GAIN: f32 = 3.0;
-/// The most that the division moves either way, as a logarithm: by half.
+/// The maximum of the logarithm of that factor in either direction, about a factor of two.
 const MAX_LOG_WEIGHT: f32 = 0.7;
 
-/// Streams of one sort.
+/// Counts of streams of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StreamCount {
-    /// Those that ended.
+    /// Streams that ended.
     pub total: f32,
-    /// Of them, those that were late, or turned away because they would have been.
+    /// Streams of these that were late, or were refused because they would have been late.
     pub late: f32,
 }
 
-/// Streams of both sorts, the recent ones for more.
+/// Counts of streams of both kinds; recent ones have more weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lateness {
-    /// Those whose events must come in quick succession.
+    /// Streams with a long answer whose events must follow each other quickly.
     pub decode_heavy: StreamCount,
-    /// Those that mostly read prompts.
+    /// Streams that mostly prefill prompts.
     pub prefill_heavy: StreamCount,
 }
 
@@ -67,22 +69,23 @@
         });
     }
 
-    /// Adds what others counted.
+    /// Adds the counts of another entry.
     pub fn add(&mut self, other: &Self) {
         self.decode_heavy.add(other.decode_heavy);
         self.prefill_heavy.add(other.prefill_heavy);
     }
 
-    /// Leaves this part of what was counted.
+    /// Multiplies all counts by `factor`.
     pub fn decay(&mut self, factor: f64) {
-        // A part of one.
+        // At most 1.
         #[allow(clippy::cast_possible_truncation)]
         let factor = factor as f32;
         self.decode_heavy.decay(factor);
         self.prefill_heavy.decay(factor);
     }
 
-    /// How many times as many engines steady streams get as they seem to need.
+    /// The factor by which the demand of decode-heavy streams is scaled when engines are
+    /// divided.
     ///
     /// ```
     /// use woodgap_core::relay::lateness::Lateness;
--- a/crates/core/src/relay/partition.rs
+++ b/crates/core/src/relay/partition.rs
@@ -1,9 +1,9 @@
-//! Which engines of a service are for which sort of streams.
+//! Partition of a service's engines between decode-heavy and prefill-heavy streams.
 //!
-//! A stream whose events must come in quick succession suffers from each prompt
-//! that its engine reads beside it. So the engines stand in an order that all
-//! entries share, and the first few are for steady streams, the others for long
-//! prompts. How many depends on what both sorts need.
+//! Every prompt that an engine prefills delays the events of the streams that it decodes. The
+//! engines are therefore put into an order that all entries share: the first few serve
+//! decode-heavy streams (short prompts, long answers), the others serve prefill-heavy ones.
+//! The numbers follow the demand of both kinds.
 
 use crate::clock::Millis;
 use crate::relay::RequestProfile;
@@ -12,37 +12,39 @@
 use crate::relay::roster::Endpoint;
 use crate::relay::tidings::{self, Needed};
 
-/// How many prompt tokens an engine could read in the time that it takes for a token of
-/// a stream at ease, beside some twenty others (50 in a ms, 6 ms): large engines and
-/// small ones read faster and write faster alike. What differs from one make to the
-/// next is left to [`Lateness`](crate::relay::lateness::Lateness).
+/// Prompt tokens that an engine can prefill in the time of one output token at moderate load,
+/// with about twenty other streams (50 tokens per ms, 6 ms per token). Large and small engines
+/// are faster or slower at both alike. The remaining differences between models are corrected
+/// by [`Lateness`](crate::relay::lateness::Lateness).
 const PREFILL_TOKENS_PER_OUTPUT_TOKEN: f64 = 300.0;
-/// A stream is steady if it runs for so many times as long as its prompt is read.
+/// A stream is decode-heavy if decoding its answer takes at least this many times as long as
+/// prefilling its prompt.
 const DECODE_HEAVY_RATIO: f64 = 15.0;
-/// The part of an engine's slots that steady streams fill at ease.
+/// The share of an engine's slots that decode-heavy streams fill at the target load.
 const TARGET_SLOT_UTILIZATION: f64 = 0.4;
-/// The part of its time that an engine spends on reading prompts at ease.
+/// The share of its time that an engine spends on prefill at the target load.
 const TARGET_PREFILL_UTILIZATION: f64 = 0.6;
-/// How far the number of engines for steady streams may be from what is needed
-/// before it changes, so that it does not move to and fro.
+/// The number of engines for decode-heavy streams changes only if it differs from the target
+/// by more than this, so that it does not oscillate.
 const HYSTERESIS: f64 = 0.7;
-/// The part of a pause between two events that an engine may spend on reading.
+/// The share of the gap between two events that an engine may spend on prefill.
 const MAX_PREFILL_SHARE_OF_GAP: f64 = 0.35;
-/// The span over which demand is averaged, in ms.
+/// Time constant of the moving average of demand, in ms.
 const SPAN: f64 = 3_000.0;
 
-/// What one entry's requests to a service need, averaged over a while.
+/// Moving average of the demand of one entry's requests to a service.
 #[derive(Debug, Default)]
 pub struct Demand {
     needed: Needed,
     at: Millis,
     decode_engines: usize,
-    /// The shortest pause that steady streams may have between two events.
+    /// The shortest event gap allowed by any decode-heavy stream.
     gap: Option<Millis>,
 }
 
 impl Demand {
-    /// Counts a request of which so many prompt tokens must be read.
+    /// Adds the demand of a request for which `prefill_tokens` prompt tokens have to be
+    /// prefilled.
     pub fn record_request(
         &mut self,
         profile: &RequestProfile<'_>,
@@ -64,21 +66,21 @@
         }
     }
 
-    /// Counts how a stream ended.
+    /// Records whether a stream was late.
     pub fn record_stream_end(&mut self, is_decode_heavy: bool, is_late: bool, now: Millis) {
         self.needed = self.needed(now);
         self.at = now;
         self.needed.lateness.record(is_decode_heavy, is_late);
     }
 
-    /// How many tokens an engine may have to read before the pauses of its steady
-    /// streams become too long.
+    /// The most tokens an engine may have left to prefill before the event gaps of its
+    /// decode-heavy streams become too long.
     pub fn max_prefill_backlog(&self, speed: &EngineSpeed) -> f64 {
         let gap = self.gap.map_or(f64::INFINITY, |gap| gap.0 as f64);
         MAX_PREFILL_SHARE_OF_GAP * gap * speed.prefill_rate()
     }
 
-    /// What this entry's requests ask of engines now.
+    /// The current demand of this entry's requests.
     pub fn needed(&self, now: Millis) -> Needed {
         let age = (now - self.at).0 as f64;
         let factor = (-age / SPAN).exp();
@@ -91,8 +93,8 @@
         }
     }
 
-    /// How many of the engines are for steady streams, given what the requests of
-    /// other entries need.
+    /// Returns how many of the engines serve decode-heavy streams, given the demand of the
+    /// other entries as well.
     pub fn allocate(&mut self, engines: usize, others: Needed, now: Millis) -> usize {
         let own = self.needed(now);
         let mut lateness = own.lateness;
@@ -116,7 +118,7 @@
     }
 }
 
-/// The engines of a service, divided in two.
+/// The engines of a service, divided into two groups.
 #[derive(Debug)]
 pub struct Partition<'e> {
     engines: Vec<&'e Endpoint>,
@@ -124,7 +126,8 @@
 }
 
 impl<'e> Partition<'e> {
-    /// Puts the engines in order; the first few are for steady streams.
+    /// Sorts the engines into the order that all entries share; the first `decode_engines` of
+    /// them serve decode-heavy streams.
     pub fn new(endpoints: &[&'e Endpoint], decode_engines: usize) -> Self {
         let mut engines = endpoints.to_vec();
         engines.sort_by_cached_key(|it| (tidings::life_hash(&it.life), it.life.clone()));
@@ -134,24 +137,24 @@
         }
     }
 
-    /// All engines, in order, each with whether it is for steady streams.
+    /// All engines in order, each with whether it serves decode-heavy streams.
     pub fn engines(&self) -> impl Iterator<Item = (&'e Endpoint, bool)> {
         let engines = self.engines.iter().enumerate();
         engines.map(|(index, engine)| (*engine, index < self.decode_engines))
     }
 
-    /// Whether the engines for steady streams are meant for a request.
+    /// Whether a request belongs on the engines for decode-heavy streams.
     pub fn uses_decode_engines(&self, work: Option<&Work>) -> bool {
         self.decode_engines > 0 && work.is_some_and(is_decode_heavy)
     }
 }
 
-/// Whether a request's answer runs much longer than its prompt is read.
+/// Whether decoding the answer takes much longer than prefilling the prompt.
 pub fn is_decode_heavy(work: &Work) -> bool {
     decode_time(work) >= DECODE_HEAVY_RATIO * f64::from(work.prompt_tokens)
 }
 
-/// How long an answer runs, in prompt tokens that could be read in that time.
+/// The decoding time of the answer, in prompt tokens that could be prefilled meanwhile.
 fn decode_time(work: &Work) -> f64 {
     f64::from(work.expected_output()) * PREFILL_TOKENS_PER_OUTPUT_TOKEN
 }
--- a/crates/core/src/relay/prefix.rs
+++ b/crates/core/src/relay/prefix.rs
@@ -1,14 +1,14 @@
-//! Which prompt parts an engine is believed to keep.
+//! Model of the prompt parts in an engine's prefix cache.
 //!
-//! A part can be read from memory only if every part before it is kept too, so a
-//! part is known by the chain that ends with it.
+//! An engine can reuse a part only if every part before it is cached too, so a part is
+//! identified by the hash of the prefix that ends with it.
 
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 use crate::relay::work::Part;
 
-/// The parts believed to be kept by one engine, bounded by its memory.
+/// The parts expected in the prefix cache of one engine, bounded by its memory.
 #[derive(Debug)]
 pub struct PrefixCache {
     cached_parts: HashMap<u64, CachedPart>,
@@ -23,7 +23,7 @@
 }
 
 impl PrefixCache {
-    /// Nothing is kept yet; `most_tokens` is the engine's memory.
+    /// Creates an empty cache; `capacity_tokens` is the engine's memory.
     pub fn new(capacity_tokens: u32) -> Self {
         Self {
             cached_parts: HashMap::new(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// How many tokens at the beginning of a prompt are believed to be kept.
+    /// The number of tokens at the beginning of a prompt that are expected to be cached.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -52,7 +52,7 @@
         hits.map(|(_, part)| part.tokens).sum()
     }
 
-    /// Notes that the engine has read a prompt.
+    /// Records that the engine has prefilled a prompt.
     pub fn record(&mut self, parts: &[Part], now: Millis) {
         for (hash, part) in prefix_hashes(parts).zip(parts) {
             let cached = self.cached_parts.entry(hash).or_insert_with(|| {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Forgets all, since the engine has started anew.
+    /// Empties the cache after a restart of the engine.
     pub fn clear(&mut self) {
         self.cached_parts.clear();
         self.tokens = 0;
@@ -90,7 +90,7 @@
     }
 }
 
-/// The chains that end with each part of a prompt.
+/// The hashes of all prefixes that end with a part of the prompt.
 pub fn prefix_hashes(parts: &[Part]) -> impl Iterator<Item = u64> {
     parts.iter().scan(0, |hash, part| {
         *hash = mix(*hash, part.id);
@@ -98,7 +98,7 @@
     })
 }
 
-/// Mixes two numbers evenly over all 64 bits: the finaliser of `SplitMix64`.
+/// Mixes two numbers evenly over all 64 bits: the finalizer of `SplitMix64`.
 pub fn mix(left: u64, right: u64) -> u64 {
     let mut mixed = left.wrapping_add(0x9e37_79b9_7f4a_7c15) ^ right;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/relay/profile.rs
+++ b/crates/core/src/relay/profile.rs
@@ -1,16 +1,16 @@
-//! What a request asks of an endpoint, as far as its choice depends on it.
+//! The properties of a request that determine the choice of its endpoint.
 
 use crate::clock::Millis;
 use crate::relay;
 use crate::relay::plan::Engine;
 
-/// What is to be sent.
+/// The properties of a request that determine the choice of its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile<'a> {
-    /// What it asks of a model engine; none for a plain service.
+    /// The prompt and output sizes for a model engine; `None` for a plain service.
     pub work: Option<&'a relay::Work>,
-    /// The engines of the service; none for a plain service.
+    /// The engine parameters of the service; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// The longest pause between two events of its stream that is on time.
+    /// The longest gap between two events of the stream that is still on time.
     pub gap: Option<Millis>,
 }
--- a/crates/core/src/relay/rest.rs
+++ b/crates/core/src/relay/rest.rs
@@ -1,8 +1,8 @@
-//! How long a connection to an endpoint may rest before it is used again.
+//! The longest idle time after which a connection to an endpoint is reused.
 //!
-//! Some endpoints forget a connection that rests, without a word: what is sent on it
-//! next is reset, and nobody knows whether it ran. The first losses show how long is
-//! too long, and entries tell one another.
+//! Some endpoints drop idle connections without closing them: the next request on such a
+//! connection is reset, and it is unknown whether it ran. The first losses show which idle
+//! time is too long, and entries share that with each other.
 
 use std::collections::HashMap;
 
@@ -11,26 +11,28 @@
 use crate::clock::Millis;
 use crate::relay::tidings;
 
-/// A connection that ends so soon after something was sent on it had been forgotten:
-/// some round trips within a region. Later, the endpoint had begun to work.
+/// A connection that breaks within this time after a request was sent had been dropped before:
+/// some round trips within a region. If it breaks later, the endpoint had begun to work on the
+/// request.
 const MAX_RESET_DELAY: Millis = Millis(50);
-/// Connections that rested for less are not forgotten; they were lost otherwise.
+/// Connections that were idle for less were not dropped for being idle, but lost for another
+/// reason.
 const MIN_IDLE: Millis = Millis(100);
-/// The part of the rest of a lost connection for which others may rest.
+/// The limit is the idle time of a lost connection divided by this number.
 const PART: u64 = 2;
-/// For how long a loss counts: endpoints may be set otherwise by then.
+/// How long a loss counts: the endpoints may have been reconfigured since.
 const OBSERVATION_LIFETIME: Millis = Millis(15_000);
 
-/// What one entry has found out and tells the others.
+/// The limit for one service that an entry has observed and sends to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdleLimit {
-    /// Which service: the [`tidings::key`] of its name.
+    /// The service, as the [`tidings::key`] of its name.
     pub service: u32,
-    /// The longest rest.
+    /// The longest idle time.
     pub max_idle: Millis,
 }
 
-/// How long connections may rest, by service.
+/// The longest idle time of connections, by service.
 #[derive(Debug, Default)]
 pub struct IdleLimits {
     own: HashMap<u32, Observation>,
@@ -50,8 +52,8 @@
 }
 
 impl IdleLimits {
-    /// Takes in that a connection which had rested for a while ended so long after
-    /// something was sent on it, without an answer.
+    /// Records that a connection broke without an answer, `took` after a request was sent on
+    /// it and after it had been idle for `idle`.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -61,7 +63,7 @@
     /// limits.record_loss("links", Millis(900), Millis(2), Millis(0));
     /// assert_eq!(limits.max_idle("links", Millis(1)), Some(Millis(450)));
     /// assert_eq!(limits.max_idle("engines", Millis(1)), None);
-    /// // Endpoints may be set otherwise after a while.
+    /// // The endpoints may have been reconfigured since.
     /// assert_eq!(limits.max_idle("links", Millis(60_000)), None);
     /// ```
     pub fn record_loss(&mut self, service: &str, idle: Millis, took: Millis, now: Millis) {
@@ -72,8 +74,8 @@
         record(&mut self.own, tidings::key(service), max_idle, now);
     }
 
-    /// The longest time for which connections to a service may rest; none where
-    /// nothing speaks against a long one.
+    /// The longest idle time after which a connection to a service may be reused; `None` if no
+    /// recent loss limits it.
     pub fn max_idle(&self, service: &str, now: Millis) -> Option<Millis> {
         let key = tidings::key(service);
         let observations = [self.own.get(&key), self.received.get(&key)];
@@ -82,7 +84,7 @@
         fresh.map(|observation| observation.max_idle).min()
     }
 
-    /// What this entry has found out itself, for the others.
+    /// The limits that this entry has observed itself, for the others.
     pub fn report(&self, now: Millis) -> Vec<IdleLimit> {
         let fresh = self
             .own
@@ -95,7 +97,7 @@
         reported.collect()
     }
 
-    /// Takes what another entry tells.
+    /// Adds the limits that another entry reports.
     pub fn merge(&mut self, reported: &[IdleLimit], now: Millis) {
         for limit in reported {
             record(&mut self.received, limit.service, limit.max_idle, now);
@@ -103,7 +105,7 @@
     }
 }
 
-/// The shorter of two rests counts, as long as it is fresh.
+/// Records a limit; the shorter one counts while the earlier one is recent.
 fn record(all: &mut HashMap<u32, Observation>, service: u32, max_idle: Millis, now: Millis) {
     let before = all
         .get(&service)
--- a/crates/core/tests/relay/active_plan.rs
+++ b/crates/core/tests/relay/active_plan.rs
@@ -1,4 +1,4 @@
-//! The plan in force moves forward only, and its age is never told too young.
+//! The version of the active plan never decreases, and its age is never understated.
 
 use std::sync::Arc;
 
--- a/crates/core/tests/relay/admission.rs
+++ b/crates/core/tests/relay/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken or turned away.
+//! Admission control: whether a request is sent or refused.
 
 use woodgap_core::clock::Millis;
 use woodgap_core::relay::admission::{Decision, LatencyRequirement, decide};
@@ -12,9 +12,9 @@
     remaining: Millis(6_000),
 };
 
-/// A burst of long prompts, all in one moment: as many are taken as one engine can
-/// begin to answer at about the target, not as many as fit into the time that callers
-/// wait (with those, all answers after the first few were late).
+/// A burst of long prompts at one moment: only as many are admitted as one engine can begin to
+/// answer at about the target. If as many are admitted as callers would wait for, all answers
+/// after the first few are late.
 #[test]
 fn a_burst_is_admitted_up_to_what_can_be_answered_on_time() {
     let mut entry = Entry::new(1);
@@ -42,13 +42,13 @@
         Decision::Refuse(retry_after) => retry_after.0 as f64,
         Decision::Admit => panic!("{choice:?}"),
     };
-    // Not before what waits now is done, and not all at one moment.
+    // Callers retry no earlier than the current queue is done, and not all at the same time.
     assert!((retry_after(0.0) - choice.expected_wait).abs() < 1.0);
     assert!((retry_after(1.0) - 2.0 * choice.expected_wait).abs() < 1.0);
 }
 
-/// Long prompts are turned away no sooner than short ones by what they take themselves,
-/// only by what waits before them.
+/// A long prompt is refused because of the queue before it, not because of the time that it
+/// takes itself.
 #[test]
 fn a_long_prompt_is_not_refused_for_its_own_length() {
     let mut entry = Entry::new(1);
@@ -72,8 +72,8 @@
     assert_ne!(decide(&choice, STREAM, 0.0), Decision::Admit, "{choice:?}");
 }
 
-/// A late answer of a plain service is worth as much as most: a queue there turns
-/// nobody away who waits for long enough.
+/// A late answer of a plain service has most of its value: a queue there refuses nobody who
+/// would wait long enough.
 #[test]
 fn requests_to_plain_services_may_exceed_their_target() {
     let mut entry = Entry::new(1);
--- a/crates/core/tests/relay/budget.rs
+++ b/crates/core/tests/relay/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats holds for the whole fleet in every window.
+//! The fleet-wide retry budget holds in every window.
 
 use proptest::prelude::*;
 use woodgap_core::clock::Millis;
@@ -27,9 +27,9 @@
 }
 
 proptest! {
-    /// With any traffic, and each request asking to be repeated, no window of any
-    /// position has more repeats than the bound allows for the requests within it
-    /// or within the window before.
+    /// With arbitrary traffic and retries wanted for any request, no window at any position
+    /// has more retries than the limit allows for the requests within it or in the window
+    /// before.
     #[test]
     fn every_window_is_within_the_limit(
         events in proptest::collection::vec((0_usize..6, 0_u64..60, 0_u32..4), 50..600),
--- a/crates/core/tests/relay/engine.rs
+++ b/crates/core/tests/relay/engine.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request is sent to.
+//! Selection of the endpoint for a request.
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
@@ -19,7 +19,7 @@
     moves_prompts: false,
 };
 
-/// A long prompt with a short answer; `subject` is shared with others.
+/// A long prompt with a short answer; the `subject` part is shared with other prompts.
 pub fn caption(subject: u64, own: u64) -> Work {
     Work {
         prompt_tokens: 9_000,
@@ -69,7 +69,7 @@
     (0..count).map(|it| endpoint(&format!("e{it}"))).collect()
 }
 
-/// One entry before a few engines.
+/// One entry and a few engines.
 pub struct Entry {
     pub balancer: LoadBalancer,
     pub endpoints: Vec<Endpoint>,
@@ -148,7 +148,7 @@
         decode.insert(entry.send(&profile(&narration(own)), 0));
         prefill.insert(entry.serve(&profile(&caption(own, 100 + own)), 0));
     }
-    // The first few decide before any demand for the other sort was seen.
+    // The first few are decided before any demand of the other kind was recorded.
     let both = decode.intersection(&prefill).count();
     assert!(both <= 1, "{decode:?} {prefill:?}");
     assert!(prefill.len() > decode.len());
@@ -179,7 +179,7 @@
     let other = name::Entry::from("first");
     second.balancer.apply_gossip(&other, &gossip, Millis(0));
     assert_ne!(second.send(&profile(&caption(7, 99)), 0), busy);
-    // What an entry told counts for a while only.
+    // Gossip of another entry expires.
     assert_eq!(second.send(&profile(&caption(7, 100)), 5_000), busy);
 }
 
@@ -238,8 +238,8 @@
     assert_eq!(entry.serve(&PLAIN, 0), "e1");
 }
 
-/// An entry that stood still finds answers that seem to have taken long. It asks the
-/// endpoint all the same: else it would never learn better.
+/// After a stall of the entry itself, answers seem to have taken long. The entry must still
+/// use the endpoint, or no sample would ever correct the value.
 #[test]
 fn samples_from_a_stall_do_not_exclude_an_endpoint() {
     let mut entry = Entry::new(1);
@@ -269,8 +269,8 @@
     assert!(!choice.is_too_late(Millis(60_000)), "{choice:?}");
 }
 
-/// The end of a stream is told with room for the tenth that takes longer than forecast; that
-/// of a stream of unknown length is not told.
+/// The estimated end of a stream includes a margin, as a tenth of the streams take longer than
+/// forecast; a stream of unknown length has no estimated end.
 #[test]
 fn an_estimated_end_includes_a_margin() {
     let work = narration(1);
@@ -284,14 +284,14 @@
     assert!(plain.estimated_end(false, Millis(1_000)).is_some());
 }
 
-/// The endpoints of an entry in the lives that began at a moment.
+/// Replaces the endpoints of an entry by lives that started at the given time.
 fn restart(entry: &mut Entry, at: u64) {
     for (number, endpoint) in entry.endpoints.iter_mut().enumerate() {
         *endpoint = started(&format!("e{number}"), at);
     }
 }
 
-/// The first requests meet a new life as they would meet an endpoint never heard of.
+/// For its first requests, a new life is treated like an endpoint that was never seen before.
 #[rstest]
 #[case::running(|entry: &mut Entry| { entry.send(&profile(&caption(7, 1)), 0); })]
 #[case::kept_parts(|entry: &mut Entry| { entry.serve(&profile(&caption(7, 1)), 0); })]
@@ -313,7 +313,7 @@
     other.send(&profile(&caption(7, 1)), 0);
     let gossip = other.balancer.gossip(48, Millis(0));
     entry.balancer.apply_gossip(&name::Entry::from("other"), &gossip, Millis(0));
-    // What is learnt of the service as a whole stays.
+    // Speed estimates of the service as a whole are kept.
     entry.serve(&profile(&caption(8, 1)), 0);
 })]
 fn a_new_life_starts_without_state(#[case] event: fn(&mut Entry)) {
@@ -337,11 +337,11 @@
         )
     };
     assert_eq!(figures(&again), figures(&fresh));
-    // Of the earlier life, something was known.
+    // The events did leave state about the earlier life.
     assert_ne!(met.as_ref().map(figures), Some(figures(&again)));
 }
 
-/// Reports, failures and ends of an earlier life do not count for the later one.
+/// Reports, failures and ends of requests of an earlier life do not affect the later one.
 #[test]
 fn late_signals_of_an_earlier_life_do_not_affect_the_later_one() {
     let mut entry = Entry::new(1);
--- a/crates/core/tests/relay/engine_speed.rs
+++ b/crates/core/tests/relay/engine_speed.rs
@@ -1,4 +1,4 @@
-//! What is learnt of engines from their streams.
+//! Speed estimates of engines from the timing of their streams.
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
@@ -8,7 +8,7 @@
 
 use crate::engine::{Entry, caption, narration, profile};
 
-/// Engines of several makes: prompt tokens read in a ms.
+/// Engines of several models, by prompt tokens prefilled per ms.
 #[rstest]
 #[case::large_model(24.0)]
 #[case::middling(57.0)]
@@ -21,7 +21,7 @@
     assert!((speed.prefill_rate() / rate - 1.0).abs() < 0.1, "{speed:?}");
 }
 
-/// One of ten answers comes after a standstill or from an engine in trouble.
+/// One of ten answers is delayed by a stall or comes from a faulty engine.
 #[test]
 fn a_few_slow_answers_change_little() {
     let mut speed = EngineSpeed::default();
@@ -41,7 +41,7 @@
     fresh.adopt(&known.report());
     assert!((fresh.prefill_rate() - 20.0).abs() < 1.0);
     assert!((fresh.token_time(20.0) - 9.0).abs() < 0.1);
-    // Nothing is told by one that knows little itself.
+    // An entry with few samples reports nothing.
     let mut unsure = EngineSpeed::default();
     unsure.record_prefill(4_000.0, 1_000.0);
     let mut other = EngineSpeed::default();
@@ -49,8 +49,8 @@
     assert_eq!(other, EngineSpeed::default());
 }
 
-/// An engine turns slow by five times: its streams still begin in time, as nothing waits
-/// there, and each pause is short enough. New streams go elsewhere.
+/// An engine becomes five times slower. Its streams still begin in time, as nothing waits
+/// there, and each gap is short enough; new streams must go elsewhere all the same.
 #[test]
 fn decode_heavy_streams_avoid_an_engine_that_becomes_slow() {
     let mut entry = Entry::new(4);
@@ -73,8 +73,8 @@
     assert!(!later.contains(slow), "{slow} {later:?}");
 }
 
-/// Prompts are turned away at an engine that reads slowly sooner than at a fast one,
-/// though nobody told how fast it is.
+/// A slow engine is expected to take longer than a fast one, although no setting states its
+/// speed.
 #[test]
 fn forecasts_follow_the_measured_speed() {
     let wait_after = |took: u64| {
@@ -94,7 +94,8 @@
     assert!(slow > 5.0 * fast, "{slow} {fast}");
 }
 
-/// Streams of one sort are late, the other's are not: the late sort gets more engines.
+/// If streams of one kind are late and those of the other are not, the late kind gets more
+/// engines.
 #[rstest]
 #[case::both_on_time(false, false, 5)]
 #[case::decode_late(true, false, 6)]
--- a/crates/core/tests/relay/health.rs
+++ b/crates/core/tests/relay/health.rs
@@ -1,4 +1,4 @@
-//! What answers and connections show of an endpoint.
+//! Endpoint health, as observed from answers and connections.
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
--- a/crates/core/tests/relay/lives.rs
+++ b/crates/core/tests/relay/lives.rs
@@ -1,5 +1,5 @@
-//! Endpoints that start again under their name: which life is known, and what is known
-//! of it.
+//! Endpoints that restart under the same name: which life is current, and which state belongs
+//! to it.
 
 mod loads;
 mod rosters;
--- a/crates/core/tests/relay/lives/loads.rs
+++ b/crates/core/tests/relay/lives/loads.rs
@@ -1,4 +1,4 @@
-//! What is known of a life's load, in whatever order news of it and of the one before come.
+//! The load state of a life, with events of it and of the life before arriving in any order.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -14,13 +14,14 @@
 use crate::roster::{endpoint, started};
 use crate::source::transferring;
 
-/// How many other entries tell of their load.
+/// The number of other entries that report their load.
 const PEERS: usize = 2;
-/// How many events of a stream show how long a token takes, and the time between two.
+/// The number of events of a stream, enough to show the time per token, and the interval
+/// between two.
 const EVENTS: u64 = 20;
 const EVENT_INTERVAL: u64 = 60;
 
-/// Of which endpoint news are.
+/// The endpoint that an event is about.
 #[derive(Clone, Copy, Debug)]
 enum Target {
     Earlier,
@@ -29,24 +30,24 @@
     Other,
 }
 
-/// What is heard of an endpoint.
+/// An event that concerns an endpoint.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A request is sent there.
+    /// A request is sent there, with a prompt of this subject.
     Send(u64),
     /// The answer to its oldest request begins.
     FirstByte,
-    /// Its oldest request brings many events.
+    /// The stream of its oldest request delivers many events.
     StreamEvents,
     /// Its oldest request ends.
     End,
     /// It reports its load.
     Report(u32),
-    /// A connection or an answer tells of it.
+    /// A connection or an answer shows its health.
     Signal(HealthSignal),
-    /// Another entry sends it a request, and tells of its load.
+    /// Another entry sends it a request, and reports its load.
     Gossip(usize),
-    /// It is gone, and forgotten.
+    /// It no longer exists and is removed.
     Gone,
 }
 
@@ -74,7 +75,7 @@
     proptest::collection::vec((target, event, 0_u64..400), 1..30)
 }
 
-/// What an entry expects of the later life, and what it tells of it.
+/// An entry's estimates for the later life, and what it reports about that life to others.
 #[derive(Debug, PartialEq)]
 struct View {
     stream: Option<Choice>,
@@ -83,7 +84,7 @@
     shared: Option<Share>,
 }
 
-/// An entry, the other entries, and the endpoints that they hear of.
+/// An entry, the other entries, and the endpoints that they know.
 struct Stage {
     balancer: LoadBalancer,
     peers: [LoadBalancer; PEERS],
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Another entry sends a request there, sees events of it, and tells of its load.
+    /// Another entry sends a request there, receives events of it, and reports its load.
     fn gossip(&mut self, peer: usize, endpoint: &Endpoint) {
         let balancer = &mut self.peers[peer];
         if let Some(ticket) = send(balancer, endpoint, 9, self.now) {
@@ -165,7 +166,7 @@
         self.balancer.apply_gossip(&entry, &gossip, self.now);
     }
 
-    /// What a request would meet now.
+    /// The estimates for a request now.
     fn view(&mut self) -> View {
         let work = caption(0, 1_000);
         let open = [&self.later, &self.other];
@@ -181,7 +182,7 @@
         }
     }
 
-    /// What requests meet after each of the news.
+    /// Applies the events, and returns the view after each of them.
     fn replay(mut self, history: &[(Target, Event, u64)]) -> Vec<View> {
         let views = history.iter().map(|(target, event, delay)| {
             self.apply(*target, *event);
@@ -192,7 +193,7 @@
     }
 }
 
-/// Sends a request with a prompt of this subject, if the endpoint is open.
+/// Sends a request with a prompt of this subject, unless the endpoint is suspended.
 fn send(
     balancer: &mut LoadBalancer,
     endpoint: &Endpoint,
@@ -205,7 +206,7 @@
     Some(balancer.begin(&choice, &ask, now))
 }
 
-/// A stream brings events for a while; gives back its end.
+/// Records stream events for a while; returns the time after the last one.
 fn events(balancer: &mut LoadBalancer, ticket: &Ticket, now: Millis) -> Millis {
     let at = |event| now + Millis(event * EVENT_INTERVAL);
     for event in 0..EVENTS {
@@ -217,18 +218,18 @@
 fn two_lives() -> impl Strategy<Value = (Endpoint, Endpoint)> {
     prop_oneof![
         Just((started("e0", 100), started("e0", 200))),
-        // Tens of ms apart.
+        // Only 10 ms apart.
         Just((started("e0", 100), started("e0", 110))),
-        // An earlier writer tells no start.
+        // Earlier versions do not report a start time.
         Just((endpoint("e0"), started("e0", 200))),
         Just((started("e0", 200), endpoint("e0"))),
     ]
 }
 
 proptest! {
-    /// News of an earlier life count for the later one no more than news of an endpoint
-    /// that is none of its lives: prompt parts, load, speed, failures and running work,
-    /// of this entry and told by others, in any order.
+    /// Events of an earlier life affect the later one no more than events of an unrelated
+    /// endpoint. This covers prompt parts, load, speed, failures and running requests, from
+    /// this entry and from gossip, in any order.
     #[test]
     fn events_of_an_earlier_life_never_affect_the_later_one(
         (earlier, later) in two_lives(),
@@ -242,8 +243,8 @@
     }
 }
 
-/// A report of the later life stands, though its counts begin anew and are smaller, and
-/// whether the last report of the earlier one is heard before or after it.
+/// A report of the later life counts although its counters restarted and are smaller, whether
+/// the last report of the earlier life arrives before or after it.
 #[rstest]
 #[case::in_order([Target::Earlier, Target::Later])]
 #[case::late([Target::Later, Target::Earlier])]
@@ -265,8 +266,9 @@
     assert!((plain.running - 1.0).abs() < 0.01, "{plain:?}");
 }
 
-/// Another entry that still knows the earlier life tells of much work there, after a third
-/// one has told of its work at the later life: that alone counts.
+/// One entry reports its requests at the later life, and then another one, which still knows
+/// the earlier life, reports many requests there. Only the first report counts for the later
+/// life.
 #[test]
 fn gossip_about_an_earlier_life_does_not_count() {
     let (earlier, later) = (started("e0", 100), started("e0", 200));
@@ -288,7 +290,7 @@
     assert_eq!(running(&earlier), Some(5.0));
 }
 
-/// A prompt that shares nothing with others: only an engine that it was sent to keeps it.
+/// A prompt that shares nothing with others: only an engine that it was sent to has it cached.
 fn unshared_prompt(id: u64) -> Work {
     Work {
         parts: vec![Part { id, tokens: 9_000 }],
@@ -296,7 +298,7 @@
     }
 }
 
-/// Sends a prompt to an engine, where it stays.
+/// Sends a prompt to an engine, where it keeps running.
 fn send_and_hold(balancer: &mut LoadBalancer, engine: &Endpoint, id: u64) {
     let work = unshared_prompt(id);
     let choice = balancer.choose(&[engine], &transferring(&work), Millis(0));
@@ -307,15 +309,15 @@
     );
 }
 
-/// A prompt is taken from the engine that keeps it, until that starts again: it has nothing
-/// to give then. One that has itself started again takes the prompt from another.
+/// A prompt is fetched from the engine that has it cached until that engine restarts, which
+/// empties its cache. An engine that has restarted itself fetches the prompt from another one.
 #[test]
 fn cached_parts_are_not_fetched_from_a_restarted_engine() {
     let mut balancer = LoadBalancer::new(name::DataCentre::from("dub-a"), 1);
     let (holder, free) = (started("e0", 100), started("e1", 100));
     let again = started("e0", 200);
     send_and_hold(&mut balancer, &holder, 7);
-    // What it does now must not be the reason why it gives nothing.
+    // Makes both lives equally busy, so that their load cannot be the reason for the result.
     for engine in [&holder, &again] {
         for other in 10..30 {
             send_and_hold(&mut balancer, engine, other);
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the relay, as tables and properties.
+//! Table-driven and property tests of the relay's decision logic.
 
 mod active_plan;
 mod admission;
--- a/crates/core/tests/relay/prefix.rs
+++ b/crates/core/tests/relay/prefix.rs
@@ -1,4 +1,4 @@
-//! Prompt parts that engines are believed to keep.
+//! Model of an engine's prefix cache.
 
 use woodgap_core::clock::Millis;
 use woodgap_core::relay::prefix::PrefixCache;
--- a/crates/core/tests/relay/rest.rs
+++ b/crates/core/tests/relay/rest.rs
@@ -1,4 +1,4 @@
-//! How long connections may rest.
+//! Limits of the idle time of connections.
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
--- a/crates/core/tests/relay/source.rs
+++ b/crates/core/tests/relay/source.rs
@@ -1,4 +1,4 @@
-//! From which engine a prompt's kept parts are taken.
+//! Selection of the engine from which cached prompt parts are fetched.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::engine::{ENGINE, Entry, caption, profile};
 use crate::roster::life;
 
-/// Engines that give kept prompt parts to one another.
+/// Engines that can transfer cached prompt parts to each other.
 const TRANSFERRING: Engine = Engine {
     moves_prompts: true,
     ..ENGINE
@@ -24,8 +24,8 @@
     }
 }
 
-/// A hot subject: its engine falls behind, others help out. They take the shared part
-/// from the engine that keeps it instead of reading it again.
+/// The engine of a popular subject gets a backlog and others serve the subject as well. They
+/// fetch the shared part from its holder instead of prefilling it again.
 #[test]
 fn an_additional_engine_fetches_the_shared_part_from_its_holder() {
     let mut entry = Entry::new(9);
@@ -64,7 +64,7 @@
     }
 }
 
-/// An engine that is lost has nothing to give.
+/// An engine that cannot be reached is no source.
 #[test]
 fn nothing_is_fetched_from_an_unreachable_engine() {
     let mut entry = Entry::new(3);
@@ -84,7 +84,7 @@
     }
 }
 
-/// A prompt that begins with a part which the prompts of many subjects have in common.
+/// A prompt that begins with a part that prompts of many subjects have in common.
 fn prompt_with_common_part(subject: u64, own: u64) -> Work {
     let caption = caption(subject, own);
     let common = Part {
@@ -98,15 +98,15 @@
     }
 }
 
-/// All engines are cold, and requests come for hundreds of subjects that begin alike: the
-/// common part is read once and taken by all other engines, from one that all entries agree
-/// on, though no entry has sent anything there yet.
+/// All caches are empty, and requests come for many subjects that begin with the same part.
+/// That part is prefilled once and fetched by all other engines, from one engine that all
+/// entries agree on although none of them has sent anything there yet.
 #[test]
 fn engines_fetch_the_common_part_from_the_same_engine_at_their_first_request() {
     let mut sources = BTreeSet::new();
     let mut chosen = BTreeSet::new();
     for subject in 100..160 {
-        // Each entry sends one request only.
+        // Each entry sends only one request.
         let mut entry = Entry::new(9);
         let work = prompt_with_common_part(subject, subject + 1_000);
         let choice = entry
@@ -115,7 +115,7 @@
         let source = choice.prompt_source.map(|it| it.life.id.to_string());
         let endpoint = choice.endpoint.life.id.to_string();
         if source.is_none() {
-            // It is the common keeper itself.
+            // This is the owner of the common part.
             sources.insert(endpoint);
         } else {
             chosen.insert(endpoint);
@@ -126,7 +126,7 @@
     assert_eq!(chosen.len(), 8, "{chosen:?}");
 }
 
-/// Nothing is taken where this entry knows that the engine keeps all.
+/// Nothing is fetched if this entry knows that the engine has everything in its cache.
 #[test]
 fn an_engine_that_has_everything_cached_fetches_nothing() {
     let mut entry = Entry::new(9);
--- a/crates/core/tests/relay/subset.rs
+++ b/crates/core/tests/relay/subset.rs
@@ -1,4 +1,4 @@
-//! Thousands of engines before entries that each see little of what is asked.
+//! Thousands of engines, and entries that each see a small part of the demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::engine::{caption, narration, profile};
 use crate::roster::endpoint;
 
-/// As many engines as the whole fleet of the users has, in five data centres.
+/// The size of the users' whole fleet, in five data centres.
 const FLEET: usize = 9_713;
 
 fn engines(count: usize) -> Vec<Endpoint> {
@@ -26,8 +26,7 @@
     LoadBalancer::new(DataCentre::from(format!("dub-{}", at % 5)), at as u64)
 }
 
-/// The engines in use at an entry before the first of these engines, where it has been asked for
-/// so many long prompts in the last moments.
+/// The engines in use at an entry.
 fn active_subset(balancer: &mut LoadBalancer, engines: &[Endpoint], now: u64) -> Vec<Life> {
     let work = caption(1, 2);
     let used = balancer.active_subset(engines.iter().collect(), &profile(&work), 1, Millis(now));
@@ -43,8 +42,8 @@
     }
 }
 
-/// A few hundred requests of a hundred entries meet at few engines, spread over all data
-/// centres, none of which gets more than it has places for.
+/// A few hundred requests of a hundred entries go to few engines in all data centres, and none
+/// of these gets more requests than it has slots.
 #[test]
 fn entries_use_the_same_engines_without_coordination() {
     let engines = engines(FLEET);
@@ -69,7 +68,8 @@
     assert!(chosen.values().all(|count| *count <= 64), "{chosen:?}");
 }
 
-/// What is in use with less demand is in use with more, in every data centre.
+/// The engines in use at low demand stay in use at higher demand, and are spread over all data
+/// centres.
 #[test]
 fn the_subset_grows_at_once() {
     let engines = engines(FLEET);
@@ -101,7 +101,7 @@
     assert_eq!(places.len(), 5);
 }
 
-/// Bursts come in series: fewer are used only after the demand was low for long.
+/// Bursts come in series: the subset shrinks only after a long time of low demand.
 #[test]
 fn the_subset_shrinks_slowly() {
     let engines = engines(FLEET);
@@ -124,7 +124,8 @@
     assert_eq!(counts.last(), Some(&256));
 }
 
-/// The engines in use that are gone are replaced by the next ones, and the others stay.
+/// Engines of the subset that are gone are replaced by the next ones in order; the others
+/// stay.
 #[test]
 fn lost_engines_are_replaced_by_the_next_ones() {
     let all = engines(FLEET);
@@ -140,7 +141,7 @@
     assert_eq!(before.difference(&after).count(), lost.len());
 }
 
-/// Small services, and plain ones, use all that they have.
+/// Small services and plain services use all their endpoints.
 #[rstest]
 #[case::small(256, true)]
 #[case::plain(2_000, false)]
