--- a/crates/core/src/permit/home/lending.rs
+++ b/crates/core/src/permit/home/lending.rs
@@ -8,7 +8,7 @@
 use crate::permit::transport::{Receipt, Urgency};
 use crate::permit::{Context, NameHash, Transport};
 
-use super::state::{LentSlots, Phase, Rate, ManagedPool};
+use super::state::{LentSlots, ManagedPool, Phase, Rate};
 use super::{Home, request_name};
 
 /// How long the borrower may use a loan. A longer lifetime needs fewer messages,
--- a/crates/core/src/relay/engine/telling.rs
+++ b/crates/core/src/relay/engine/gossip.rs
@@ -1,64 +1,68 @@
-//! What an entry tells others of its engines, and takes from them.
+//! The load that entries report to each other.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 use crate::name;
-use crate::relay::engine::Loads;
+use crate::relay::engine::LoadBalancer;
 use crate::relay::load_report::{self, EndpointLoad, LoadReport, ServiceLoad};
 
-/// The most services whose work one message tells of: so that it fits into a datagram
-/// beside what is told of endpoints.
-const MOST_WORKS: usize = 10;
-/// In the room of one service's work, so many endpoints could be told of.
-const SHARES_FOR_WORK: usize = 4;
+/// The most services whose demand one message reports: it has to fit into a datagram together
+/// with the load of endpoints.
+const MAX_WORKS: usize = 10;
+/// The number of endpoint records that take as much space as the record of one service.
+const SHARES_PER_WORK: usize = 4;
 
-impl Loads {
-    /// This entry's load, for the others; of at most so many endpoints.
-    pub fn tidings(&self, most: usize, now: Millis) -> LoadReport {
+impl LoadBalancer {
+    /// This entry's load for the others, with at most `max_shares` endpoints.
+    pub fn gossip(&self, max_shares: usize, now: Millis) -> LoadReport {
         let all = self.endpoints.iter();
         let busy = all.filter(|(_, load)| load.running() > 0);
         let endpoints = busy.map(|(life, load)| EndpointLoad {
             endpoint: load_report::life_key(life),
             running: u32::try_from(load.running()).unwrap_or(u32::MAX),
-            prefill_tokens: load.unread(),
-            kv_tokens: load.held(),
-            token_time: load.beat.seen(now).map_or(0, tenths),
+            prefill_tokens: load.pending_prefill(),
+            kv_tokens: load.reserved_tokens(),
+            token_time: load.token_timing.recent(now).map_or(0, tenths),
         });
         let services = self.works(now);
-        let most = most.saturating_sub(SHARES_FOR_WORK * services.len().saturating_sub(1));
+        let max_shares =
+            max_shares.saturating_sub(SHARES_PER_WORK * services.len().saturating_sub(1));
         let mut endpoints: Vec<_> = endpoints.collect();
         endpoints.sort_unstable_by_key(|share| Reverse((share.prefill_tokens, share.running)));
-        endpoints.truncate(most);
+        endpoints.truncate(max_shares);
         LoadReport {
             endpoints,
             services,
         }
     }
 
-    /// The work for each service, the heaviest first.
+    /// The demand for each service, the largest first.
     fn works(&self, now: Millis) -> Vec<ServiceLoad> {
-        let services = self.demands.iter().map(|(service, demand)| ServiceLoad {
-            service: load_report::name_key(service),
-            required: demand.needed(now),
-            pace: self.pace(service).tell(),
-        });
+        let services = self
+            .demand_by_service
+            .iter()
+            .map(|(service, demand)| ServiceLoad {
+                service: load_report::name_key(service),
+                required: demand.needed(now),
+                pace: self.speed(service).report(),
+            });
         let mut services: Vec<_> = services.collect();
         let weight = |work: &ServiceLoad| work.required.steady + work.required.prefill;
         services.sort_by(|left, right| weight(right).total_cmp(&weight(left)));
-        services.truncate(MOST_WORKS);
+        services.truncate(MAX_WORKS);
         services
     }
 
-    /// Takes what another entry tells of its load.
-    pub fn tell(&mut self, entry: &name::Entry, tidings: &LoadReport, now: Millis) {
-        self.others.record(entry, tidings, now);
-        for (service, pace) in &mut self.paces {
+    /// Takes in the load that another entry reports.
+    pub fn apply_gossip(&mut self, entry: &name::Entry, tidings: &LoadReport, now: Millis) {
+        self.peers.record(entry, tidings, now);
+        for (service, speed) in &mut self.speeds {
             let key = load_report::name_key(service);
             let mut services = tidings.services.iter();
             if let Some(work) = services.find(|work| work.service == key) {
-                pace.told(&work.pace);
+                speed.adopt(&work.pace);
             }
         }
         let seen = tidings
@@ -71,15 +75,15 @@
         }
         for (life, load) in &mut self.endpoints {
             if let Some(tenths) = times.get(&load_report::life_key(life)) {
-                load.beat.learn(f64::from(*tenths) / 10.0, now);
+                load.token_timing.record(f64::from(*tenths) / 10.0, now);
             }
         }
     }
 }
 
-/// A span in ms as a whole number of tenths.
+/// Converts a duration in ms to tenths of a ms.
 fn tenths(span: f64) -> u16 {
-    // Clamped to what fits.
+    // Clamped to the range of the type.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let tenths = (span * 10.0).round().clamp(0.0, f64::from(u16::MAX)) as u16;
     tenths
--- a/crates/core/src/relay/load_report.rs
+++ b/crates/core/src/relay/load_report.rs
@@ -6,8 +6,8 @@
 
 use crate::clock::Millis;
 use crate::name;
+use crate::relay::engine_speed;
 use crate::relay::lateness::Lateness;
-use crate::relay::pace;
 use crate::relay::prefix;
 
 /// How long another entry's report is used: the entry may have left since.
@@ -48,7 +48,7 @@
     /// The required engine throughput.
     pub required: RequiredRate,
     /// The engine speed that the entry has measured.
-    pub pace: pace::Told,
+    pub pace: engine_speed::SpeedReport,
 }
 
 /// The load that an entry reports to the others.
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -1,20 +1,19 @@
-//! Decisions of the relay, as tables and properties.
+//! Table-driven and property tests of the relay's decision logic.
 
+mod active_plan;
 mod admission;
 mod autoscaling;
 mod budget;
 mod claim;
 mod engine;
+mod engine_speed;
 mod evacuation;
 mod farewell;
 mod fleet;
-mod force;
 mod health;
 mod lives;
 mod median_clock;
 mod outage;
-mod pace;
-mod part;
 mod plan;
 mod platform_clock;
 mod polling;
@@ -24,6 +23,7 @@
 mod roster;
 mod shutdown;
 mod source;
+mod subset;
 mod table;
 mod usage;
 mod warming;
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::force::Offer;
+use woodgap_core::relay::active_plan::Offer;
 use woodgap_core::relay::platform_clock::PlatformClock;
 use woodgap_core::relay::polling::{self, CHECK_INTERVAL, PollDecision, Subject};
 use woodgap_core::relay::roster::{Change, Endpoint};
