--- a/crates/core/src/relay/claim.rs
+++ b/crates/core/src/relay/claim.rs
@@ -28,29 +28,36 @@
     /// The last window that is settled.
     pub settled: Option<Window>,
     /// Rises for as long as the holder is certain of the lease.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Whether the holder has given the lease back.
-    pub is_over: bool,
+    pub is_released: bool,
 }
 
 impl Claim {
     /// Whether this claim tells something later than another.
-    pub fn is_later(&self, other: &Self) -> bool {
-        let order = |claim: &Self| (claim.number, claim.settled, claim.beat, claim.is_over);
+    pub fn supersedes(&self, other: &Self) -> bool {
+        let order = |claim: &Self| {
+            (
+                claim.number,
+                claim.settled,
+                claim.heartbeat,
+                claim.is_released,
+            )
+        };
         order(self) > order(other)
     }
 
     /// Whether it tells more than that the holder goes on.
-    pub fn has_news(&self, other: &Self) -> bool {
-        let news = |claim: &Self| (claim.number, claim.settled, claim.is_over);
+    pub fn differs_beyond_heartbeat(&self, other: &Self) -> bool {
+        let news = |claim: &Self| (claim.number, claim.settled, claim.is_released);
         news(self) != news(other)
     }
 
     /// Whether another entry that has just got the lease may act: not while this claim's holder
     /// may still hold it, as heard so long ago, for a lease that is held for `hold`. The lease
     /// itself shuts that out, unless the platform's rows were put back to before the holder's take.
-    pub fn yields_to(&self, other: &name::Entry, silence: Millis, hold: Millis) -> bool {
-        self.is_over || self.holder == *other || silence >= hold
+    pub fn allows_takeover_by(&self, other: &name::Entry, silence: Millis, hold: Millis) -> bool {
+        self.is_released || self.holder == *other || silence >= hold
     }
 }
 
@@ -59,18 +66,18 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::claim::number;
+/// use woodgap_core::relay::claim::next_number;
 ///
-/// assert_eq!(number(Some(7), None, Millis(1_000)), 1_000);
-/// assert_eq!(number(Some(2_000), Some(2_500), Millis(1_000)), 2_501);
+/// assert_eq!(next_number(Some(7), None, Millis(1_000)), 1_000);
+/// assert_eq!(next_number(Some(2_000), Some(2_500), Millis(1_000)), 2_501);
 /// ```
-pub fn number(written: Option<u64>, heard: Option<u64>, unix: Millis) -> u64 {
+pub fn next_number(written: Option<u64>, heard: Option<u64>, unix: Millis) -> u64 {
     let used = written.max(heard);
     used.map_or(unix.0, |used| unix.0.max(used + 1))
 }
 
 /// An entry's lot for a claim, evenly from 0 to 1: another one for each claim.
-pub fn lot(claim: Option<&Claim>, entry: &name::Entry) -> f64 {
+pub fn sample(claim: Option<&Claim>, entry: &name::Entry) -> f64 {
     let number = claim.map_or(0, |claim| claim.number);
     let drawn = prefix::mix(tidings::hash(entry.as_str()), number);
     f64::from(tidings::short(drawn)) / f64::from(u32::MAX)
@@ -82,19 +89,19 @@
     /// How many others come before it.
     pub rank: usize,
     /// Whether it has run for long enough to know its rank.
-    pub is_settled: bool,
+    pub is_rank_known: bool,
     /// Whether the whole system starts for the first time, and it is one of the first.
-    pub is_first: bool,
+    pub is_bootstrapping: bool,
     /// Whether it is about to stop.
     pub is_stopping: bool,
     /// For how long it has run.
-    pub life: Millis,
+    pub uptime: Millis,
     /// How long ago it last had the duties, if it did in this life.
-    pub had: Option<Millis>,
+    pub last_held: Option<Millis>,
     /// For how long nothing was heard of the holder.
-    pub silence: Millis,
-    /// Its [`lot`] for the present claim.
-    pub lot: f64,
+    pub holder_silence: Millis,
+    /// Its [`sample`] for the present claim.
+    pub sample: f64,
     /// How many entries there are.
     pub entries: usize,
 }
@@ -110,15 +117,15 @@
 impl Candidate {
     /// Whether it should have the duties, if nobody has them. `bound` is the span within which
     /// the platform does not take the calls of an entry before and after another's.
-    pub fn may_take(&self, bound: Millis) -> bool {
+    pub fn is_eligible(&self, bound: Millis) -> bool {
         let pause = bound + BACK_OFF_MARGIN;
-        if self.is_stopping || self.had.is_some_and(|ago| ago < pause) {
+        if self.is_stopping || self.last_held.is_some_and(|ago| ago < pause) {
             return false;
         }
         // An earlier life of it may have had them just before.
-        let has_rested = self.life >= pause && self.is_settled;
-        let is_drawn = self.lot * (self.entries as f64) < DRAWN;
-        let is_next = self.rank < CANDIDATES || (self.silence >= SILENCE && is_drawn);
-        (self.is_first && !self.is_settled) || (has_rested && is_next)
+        let has_rested = self.uptime >= pause && self.is_rank_known;
+        let is_drawn = self.sample * (self.entries as f64) < DRAWN;
+        let is_next = self.rank < CANDIDATES || (self.holder_silence >= SILENCE && is_drawn);
+        (self.is_bootstrapping && !self.is_rank_known) || (has_rested && is_next)
     }
 }
--- a/crates/core/src/relay/fleet.rs
+++ b/crates/core/src/relay/fleet.rs
@@ -16,7 +16,7 @@
 use crate::clock::Millis;
 use crate::name;
 use crate::relay::tidings;
-use crate::relay::warming::{self, Sector};
+use crate::relay::warming::{self, RingRange};
 
 /// How many rounds of messages an entry may miss before it is taken for gone:
 /// one may be lost and one late.
@@ -36,9 +36,9 @@
 const OVERTAKEN: Millis = Millis(1_000);
 /// With fewer live entries in a caller's data centre, others are named to it too, so that the
 /// loss of one does not leave the caller without any.
-pub const ENOUGH_NEAR: usize = 2;
+pub const MIN_LOCAL_ENTRIES: usize = 2;
 /// How many entries are asked in one round, whatever the size of the fleet.
-pub const ASKED: usize = 6;
+pub const FANOUT: usize = 6;
 /// In so many rounds all of the own data centre are asked, if one round's number allows
 /// it: as each also asks, what they tell of their load is then renewed as fast as it ages.
 const NEAR_TURNS: usize = 10;
@@ -115,9 +115,9 @@
     /// How many of so many are asked in a round.
     fn asked(self) -> Self {
         let needed = self.near.div_ceil(NEAR_TURNS);
-        let near = needed.min(ASKED - self.far.min(ASKED_FAR));
-        let far = self.far.min(ASKED - near);
-        let near = self.near.min(ASKED - far);
+        let near = needed.min(FANOUT - self.far.min(ASKED_FAR));
+        let far = self.far.min(FANOUT - near);
+        let near = self.near.min(FANOUT - far);
         Self { near, far }
     }
 
@@ -172,12 +172,12 @@
 
     /// Takes in that an entry was heard itself. Gives back whether it was not
     /// heard for a while before.
-    pub fn heard(&mut self, mut member: Member, now: Millis) -> bool {
+    pub fn record_contact(&mut self, mut member: Member, now: Millis) -> bool {
         if member.name == self.own {
             return false;
         }
         // A message that was overtaken by the news of a stop does not undo it.
-        member.stopping |= self.has_stopped(&member);
+        member.stopping |= self.has_announced_stop(&member);
         let patience = self.patience().of(self.is_near(&member));
         let known = self.members.get(&member.name);
         let is_overtaken = known.is_some_and(|(known, heard)| {
@@ -196,7 +196,7 @@
     }
 
     /// Takes in that another entry told of this one.
-    pub fn told(&mut self, member: Member, now: Millis) {
+    pub fn record_gossip(&mut self, member: Member, now: Millis) {
         if member.name == self.own {
             return;
         }
@@ -223,7 +223,7 @@
 
     /// Whom to ask in this round: some in turns over all that are known, and some that
     /// were never heard.
-    pub fn round(&mut self, now: Millis) -> Vec<SocketAddr> {
+    pub fn gossip_targets(&mut self, now: Millis) -> Vec<SocketAddr> {
         self.forget(now);
         let asked = self.sizes.asked();
         let mut to = self.turn(true, asked.near);
@@ -243,7 +243,7 @@
     /// Whom to tell in this round, beside those that it asks, that the own entry is stopping:
     /// all that name it to callers. Some rounds after the first one all is said. The last of 59
     /// in a data centre hears of the stop at once, after 3.0 s where it waits for its turn.
-    pub fn farewell(&mut self, now: Millis) -> Vec<SocketAddr> {
+    pub fn stop_notice_targets(&mut self, now: Millis) -> Vec<SocketAddr> {
         let is_early = self.took_leave.is_some_and(|at| now - at < self.round);
         if self.farewells >= FAREWELLS || is_early {
             return Vec::new();
@@ -266,7 +266,7 @@
         for member in self.live(now) {
             *counts.entry(&member.data_centre).or_insert(0) += 1;
         }
-        counts.into_values().any(|count| count <= ENOUGH_NEAR)
+        counts.into_values().any(|count| count <= MIN_LOCAL_ENTRIES)
     }
 
     /// The next so many of one side, in turns.
@@ -313,19 +313,19 @@
     }
 
     /// How long an entry of the own data centre may be silent before it is taken for gone.
-    pub fn patience_nearby(&self) -> Millis {
+    pub fn local_timeout(&self) -> Millis {
         self.patience().near
     }
 
     /// Whether this life of an entry has said before that it is about to stop.
-    pub fn has_stopped(&self, life: &Member) -> bool {
+    pub fn has_announced_stop(&self, life: &Member) -> bool {
         let known = self.members.get(&life.name);
         known.is_some_and(|(it, _)| it.stopping && it.incarnation == life.incarnation)
     }
 
     /// The other entries that answer and are not about to stop, whether or not they
     /// take requests yet.
-    pub fn answering(&self, now: Millis) -> impl Iterator<Item = &Member> {
+    pub fn reachable(&self, now: Millis) -> impl Iterator<Item = &Member> {
         let patience = self.patience();
         let all = self.members.values();
         all.filter(move |known| self.answers(known, patience, now))
@@ -338,7 +338,7 @@
     }
 
     /// All other answering entries, in turns: from the one after `last` on, and around.
-    pub fn answering_after<'a>(
+    pub fn reachable_after<'a>(
         &'a self,
         last: Option<&'a name::Entry>,
         now: Millis,
@@ -357,13 +357,13 @@
 
     /// Whom a newcomer is told of, the first ones first: those of its own data centre, from the
     /// one on that comes after the `last` of whom newcomers there were told.
-    pub fn introduction<'a>(
+    pub fn peers_for_newcomer<'a>(
         &'a self,
         newcomer: &Member,
         last: Option<&'a name::Entry>,
         now: Millis,
     ) -> Vec<&'a Member> {
-        let others = self.answering_after(last, now);
+        let others = self.reachable_after(last, now);
         let mut others: Vec<_> = others.filter(|it| it.name != newcomer.name).collect();
         others.sort_by_key(|it| it.data_centre != newcomer.data_centre);
         others
@@ -373,19 +373,19 @@
     pub fn is_newcomer(&self, known: usize, now: Millis) -> bool {
         let lacks = |of: usize| (known as f64) < NEWCOMER_PART * of as f64;
         // No more answer than are known, and these need not be counted.
-        lacks(self.members.len()) && lacks(self.answering(now).count())
+        lacks(self.members.len()) && lacks(self.reachable(now).count())
     }
 
     /// The other entries that answer and take requests.
     pub fn live(&self, now: Millis) -> impl Iterator<Item = &Member> {
-        self.answering(now).filter(|member| member.ready)
+        self.reachable(now).filter(|member| member.ready)
     }
 
     /// How many answering entries come before this one as readers of the platform: those
     /// that it answers first, and among equals by their names.
     pub fn rank(&self, reaches_platform: bool, now: Millis) -> usize {
         let own = (!reaches_platform, &self.own);
-        let answering = self.answering(now);
+        let answering = self.reachable(now);
         let before = answering.filter(|it| (!it.reaches_platform, &it.name) < own);
         before.count()
     }
@@ -395,7 +395,7 @@
     ///
     /// In a large fleet few are heard in a short while. The part that is heard of those
     /// within reach is known, since each asks equally many; so their number follows.
-    pub fn peers(&self, now: Millis) -> usize {
+    pub fn estimate_reachable(&self, now: Millis) -> usize {
         let lately = Millis(self.round.0 * HEARD_ROUNDS);
         let members = self.members.values();
         let heard = members.filter(|(_, heard)| heard.within(lately, now));
@@ -419,19 +419,19 @@
     /// The part of the cold endpoints that this entry sends to, where each bears so many
     /// requests a second, and how many requests it may send to one in a second. An entry that
     /// is cut off goes on with its part of the fleet as it was.
-    pub fn warming(&self, per_second: f64) -> (Sector, usize) {
-        let (senders, each) = warming::division(per_second, self.largest);
+    pub fn warmup_share(&self, per_second: f64) -> (RingRange, usize) {
+        let (senders, each) = warming::split_rate(per_second, self.largest);
         let others = self.known().filter(|it| !it.stopping).map(|it| &it.name);
-        (Sector::new(&self.own, others, senders), each)
+        (RingRange::new(&self.own, others, senders), each)
     }
 
     /// How long news take to reach all entries: each round, those that have them
     /// are asked by as many others as are asked in one.
-    pub fn spread(&self) -> Millis {
+    pub fn propagation_time(&self) -> Millis {
         let mut rounds = 0;
         let mut reached = 1;
         while reached < self.size() {
-            reached *= ASKED + 1;
+            reached *= FANOUT + 1;
             rounds += 1;
         }
         Millis(self.round.0 * rounds)
--- a/crates/core/src/relay/roster.rs
+++ b/crates/core/src/relay/roster.rs
@@ -414,7 +414,7 @@
     }
 
     /// Notes that another endpoint answers at this one's address.
-    pub fn note_away(&mut self, endpoint: &Endpoint, now: Millis) {
+    pub fn mark_address_reused(&mut self, endpoint: &Endpoint, now: Millis) {
         let known = self.endpoints.get_mut(&endpoint.life.id);
         let known = known.filter(|known| known.endpoint.is_alike(endpoint));
         if let Some(known) = known.filter(|known| known.standing != Standing::Leaving) {
@@ -484,7 +484,7 @@
     }
 
     /// Whether another life of the endpoint is known: this one is over.
-    pub fn has_another(&self, life: &name::Life) -> bool {
+    pub fn has_other_life(&self, life: &name::Life) -> bool {
         let known = self.endpoints.get(&life.id);
         known.is_some_and(|known| known.endpoint.life != *life)
     }
--- a/crates/core/src/relay/shutdown.rs
+++ b/crates/core/src/relay/shutdown.rs
@@ -10,7 +10,7 @@
 
 /// How much sooner than it would be killed the process ends: a signal is noticed late by a
 /// process that has little of a processor.
-pub const MARGIN: Millis = Millis(500);
+pub const KILL_MARGIN: Millis = Millis(500);
 /// How long before its end the entry tells those that still wait that they wait in vain: some
 /// times the 50 ms after which it looks whether all is done.
 const LAST_WORD: Millis = Millis(200);
@@ -21,10 +21,10 @@
 
 /// So long after the look before the last one a process has stood still, or is slow enough
 /// for its signals to come as late: three times what passes between two looks.
-const STOOD_STILL: Millis = Millis(3 * LOOK.0);
+const STOOD_STILL: Millis = Millis(3 * POLL_INTERVAL.0);
 
 /// How often a process looks at the clock while nothing tells it to stop.
-pub const LOOK: Millis = Millis(100);
+pub const POLL_INTERVAL: Millis = Millis(100);
 
 /// The last two looks of a process at its clock. A signal that came while it stood still is
 /// noticed only afterwards, when a part of the grace is gone: after 2 s of standing still a
@@ -32,22 +32,22 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::shutdown::Looks;
+/// use woodgap_core::relay::shutdown::StallDetector;
 ///
-/// let mut looks = Looks::new(Millis(0));
-/// looks.look(Millis(100));
-/// assert_eq!(looks.told(Millis(150)), Millis(150));
+/// let mut looks = StallDetector::new(Millis(0));
+/// looks.poll(Millis(100));
+/// assert_eq!(looks.signal_time(Millis(150)), Millis(150));
 /// // It stood still, and its timer runs before its signal is seen.
-/// looks.look(Millis(2_100));
-/// assert_eq!(looks.told(Millis(2_100)), Millis(100));
+/// looks.poll(Millis(2_100));
+/// assert_eq!(looks.signal_time(Millis(2_100)), Millis(100));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Looks {
+pub struct StallDetector {
     earlier: Millis,
     last: Millis,
 }
 
-impl Looks {
+impl StallDetector {
     /// A process that begins to look.
     pub fn new(now: Millis) -> Self {
         Self {
@@ -57,14 +57,14 @@
     }
 
     /// Takes in a look.
-    pub fn look(&mut self, now: Millis) {
+    pub fn poll(&mut self, now: Millis) {
         self.earlier = self.last;
         self.last = now;
     }
 
     /// When a signal that is seen now may have come: now, or before a standstill. That timers
     /// are served before signals after one is why the last look alone does not tell.
-    pub fn told(&self, now: Millis) -> Millis {
+    pub fn signal_time(&self, now: Millis) -> Millis {
         if now - self.earlier > STOOD_STILL {
             self.earlier
         } else {
@@ -75,56 +75,56 @@
 
 /// What a program lays down for its stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct Timings {
     /// So long after it was told to stop the process would be killed.
     pub grace: Millis,
     /// How much of the grace is kept for the steps after the last answer.
-    pub afterwards: Millis,
+    pub cleanup: Millis,
     /// How long callers may come after the process was told.
-    pub callers_leave: Millis,
+    pub drain_period: Millis,
 }
 
 /// A planned stop.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::shutdown::{End, Plan, Shutdown};
+/// use woodgap_core::relay::shutdown::{EndTime, Shutdown, Timings};
 ///
-/// let plan = Plan {
+/// let plan = Timings {
 ///     grace: Millis(8_000),
-///     afterwards: Millis(0),
-///     callers_leave: Millis(3_500),
+///     cleanup: Millis(0),
+///     drain_period: Millis(3_500),
 /// };
 /// let shutdown = Shutdown::new(Millis(0), &plan);
-/// let end = End { latest: Millis(15_000), forecast: Some(Millis(6_000)) };
-/// assert!(shutdown.takes(end, Millis(1_000)));
-/// assert!(!shutdown.takes(end, Millis(3_100)));
+/// let end = EndTime { deadline: Millis(15_000), forecast: Some(Millis(6_000)) };
+/// assert!(shutdown.accepts(end, Millis(1_000)));
+/// assert!(!shutdown.accepts(end, Millis(3_100)));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
     began: Millis,
     ends: Millis,
-    callers_leave: Millis,
+    drain_period: Millis,
     callers_left: Millis,
 }
 
 /// When an answer ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct EndTime {
     /// Its deadline: it has ended by then in any case.
-    pub latest: Millis,
+    pub deadline: Millis,
     /// When it is likely to have ended, if that can be told.
     pub forecast: Option<Millis>,
 }
 
 impl Shutdown {
     /// A stop that began at this moment, and of which the process was told then.
-    pub fn new(began: Millis, plan: &Plan) -> Self {
+    pub fn new(began: Millis, plan: &Timings) -> Self {
         Self {
             began,
-            ends: began + (plan.grace - plan.afterwards - MARGIN),
-            callers_leave: plan.callers_leave,
-            callers_left: began + plan.callers_leave,
+            ends: began + (plan.grace - plan.cleanup - KILL_MARGIN),
+            drain_period: plan.drain_period,
+            callers_left: began + plan.drain_period,
         }
     }
 
@@ -133,20 +133,20 @@
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::shutdown::{Plan, Shutdown};
+    /// use woodgap_core::relay::shutdown::{Shutdown, Timings};
     ///
-    /// let plan = Plan {
+    /// let plan = Timings {
     ///     grace: Millis(30_000),
-    ///     afterwards: Millis(7_500),
-    ///     callers_leave: Millis(5_000),
+    ///     cleanup: Millis(7_500),
+    ///     drain_period: Millis(5_000),
     /// };
     /// let drained = Shutdown::new(Millis(0), &plan);
-    /// assert!(drained.is_over(true, Millis(6_000)));
-    /// assert!(!drained.told(Millis(4_000)).is_over(true, Millis(6_000)));
+    /// assert!(drained.should_exit(true, Millis(6_000)));
+    /// assert!(!drained.signalled(Millis(4_000)).should_exit(true, Millis(6_000)));
     /// ```
     #[must_use]
-    pub fn told(self, now: Millis) -> Self {
-        let callers_left = now + self.callers_leave;
+    pub fn signalled(self, now: Millis) -> Self {
+        let callers_left = now + self.drain_period;
         Self {
             callers_left,
             ..self
@@ -154,39 +154,39 @@
     }
 
     /// When it began.
-    pub fn began(&self) -> Millis {
+    pub fn started(&self) -> Millis {
         self.began
     }
 
     /// When the process ends, whatever still runs.
-    pub fn ends(&self) -> Millis {
+    pub fn deadline(&self) -> Millis {
         self.ends
     }
 
     /// When those that wait for the beginning of an answer are told that there will be none.
-    pub fn last_word(&self) -> Millis {
+    pub fn reply_deadline(&self) -> Millis {
         self.began.max(self.ends - LAST_WORD)
     }
 
     /// Whether a request whose answer ends then is taken now.
-    pub fn takes(&self, end: End, now: Millis) -> bool {
+    pub fn accepts(&self, end: EndTime, now: Millis) -> bool {
         let is_likely = end.forecast.is_some_and(|forecast| self.outlasts(forecast));
-        self.outlasts(end.latest) || (self.is_early(now) && is_likely)
+        self.outlasts(end.deadline) || (self.is_early(now) && is_likely)
     }
 
     /// Whether a request may be taken whose end is at this moment at the latest, as far as
     /// can be said before there is a forecast.
-    pub fn may_take(&self, latest: Millis, now: Millis) -> bool {
-        self.outlasts(latest) || self.is_early(now)
+    pub fn may_accept(&self, deadline: Millis, now: Millis) -> bool {
+        self.outlasts(deadline) || self.is_early(now)
     }
 
     /// Whether the process should end now, with nothing or something left to do.
-    pub fn is_over(&self, is_idle: bool, now: Millis) -> bool {
+    pub fn should_exit(&self, is_idle: bool, now: Millis) -> bool {
         now >= self.ends || (is_idle && now >= self.callers_left)
     }
 
     fn outlasts(&self, end: Millis) -> bool {
-        end <= self.last_word()
+        end <= self.reply_deadline()
     }
 
     fn is_early(&self, now: Millis) -> bool {
--- a/crates/core/src/relay/table.rs
+++ b/crates/core/src/relay/table.rs
@@ -93,7 +93,7 @@
         route: &Route,
         key: Option<&str>,
     ) -> Result<Option<&Arc<Workspace>>, Denied> {
-        if !self.asks_key(route) {
+        if !self.requires_key(route) {
             return Ok(None);
         }
         let workspace = key.and_then(|key| self.keys.get(key));
@@ -101,7 +101,7 @@
     }
 
     /// Whether the requests of a route need a key.
-    pub fn asks_key(&self, route: &Route) -> bool {
+    pub fn requires_key(&self, route: &Route) -> bool {
         !route.public && !self.plan.workspaces.is_empty()
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// The service of a route for a number drawn from 0 up to, and without, 1.
-    pub fn draw<'r>(&self, route: &'r Route, drawn: f64) -> Option<&'r str> {
+    pub fn pick_service<'r>(&self, route: &'r Route, drawn: f64) -> Option<&'r str> {
         let total: u32 = route.shares.iter().map(|share| share.weight).sum();
         let mut left = drawn * f64::from(total);
         let weighted = route.shares.iter().filter(|share| share.weight > 0);
--- a/crates/core/src/relay/warming.rs
+++ b/crates/core/src/relay/warming.rs
@@ -19,27 +19,27 @@
 
 /// The part of the ring whose cold endpoints an entry may send to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sector {
+pub struct RingRange {
     /// Where it ends: at the entry itself.
     through: u64,
     /// How long it is; none for the whole ring, where all entries may.
     span: Option<u64>,
 }
 
-impl Sector {
+impl RingRange {
     /// The part of an entry among the others that it knows, where each cold endpoint is sent
     /// to by so many entries.
     ///
     /// ```
     /// use woodgap_core::name;
-    /// use woodgap_core::relay::warming::Sector;
+    /// use woodgap_core::relay::warming::RingRange;
     ///
     /// let entries: Vec<_> = (0..60).map(|it| name::Entry::from(format!("e-{it}"))).collect();
     /// let endpoint = name::Life::from(name::Endpoint::from("i-1"));
     /// let sector = |own: &name::Entry| {
-    ///     Sector::new(own, entries.iter().filter(|it| *it != own), 8)
+    ///     RingRange::new(own, entries.iter().filter(|it| *it != own), 8)
     /// };
-    /// let senders = entries.iter().filter(|it| sector(it).holds(&endpoint));
+    /// let senders = entries.iter().filter(|it| sector(it).contains(&endpoint));
     /// assert_eq!(senders.count(), 8);
     /// ```
     pub fn new<'a>(
@@ -57,7 +57,7 @@
     }
 
     /// Whether an endpoint lies in it.
-    pub fn holds(&self, endpoint: &name::Life) -> bool {
+    pub fn contains(&self, endpoint: &name::Life) -> bool {
         let to_end = self.through.wrapping_sub(tidings::life_hash(endpoint));
         self.span.is_none_or(|span| to_end < span)
     }
@@ -71,13 +71,13 @@
 /// and how many requests each of these may send in a second.
 ///
 /// ```
-/// use woodgap_core::relay::warming::division;
+/// use woodgap_core::relay::warming::split_rate;
 ///
-/// assert_eq!(division(8.8, 63), (8, 1));
-/// assert_eq!(division(8.8, 3), (3, 2));
-/// assert_eq!(division(0.4, 63), (1, 1));
+/// assert_eq!(split_rate(8.8, 63), (8, 1));
+/// assert_eq!(split_rate(8.8, 3), (3, 2));
+/// assert_eq!(split_rate(0.4, 63), (1, 1));
 /// ```
-pub fn division(per_second: f64, entries: usize) -> (usize, usize) {
+pub fn split_rate(per_second: f64, entries: usize) -> (usize, usize) {
     // A number of requests that one endpoint bears in a second.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let all = per_second.max(1.0) as usize;
@@ -90,21 +90,21 @@
 /// ```
 /// use woodgap_core::clock::Millis;
 /// use woodgap_core::name;
-/// use woodgap_core::relay::warming::Sent;
+/// use woodgap_core::relay::warming::SendHistory;
 ///
 /// let endpoint = name::Life::from(name::Endpoint::from("i-1"));
-/// let mut sent = Sent::default();
-/// sent.note(&endpoint, Millis(0));
+/// let mut sent = SendHistory::default();
+/// sent.record(&endpoint, Millis(0));
 /// assert!(!sent.may_send(&endpoint, 1, Millis(1_000)));
 /// assert!(sent.may_send(&endpoint, 2, Millis(1_000)));
 /// assert!(sent.may_send(&endpoint, 1, Millis(1_100)));
 /// ```
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct SendHistory {
     endpoints: HashMap<name::Life, VecDeque<Millis>>,
 }
 
-impl Sent {
+impl SendHistory {
     /// Whether one more may be sent to an endpoint, of which this entry may send so many in
     /// a second.
     pub fn may_send(&self, endpoint: &name::Life, per_second: usize, now: Millis) -> bool {
@@ -114,7 +114,7 @@
     }
 
     /// Notes that one is sent.
-    pub fn note(&mut self, endpoint: &name::Life, now: Millis) {
+    pub fn record(&mut self, endpoint: &name::Life, now: Millis) {
         let sent = self.endpoints.entry(endpoint.clone()).or_default();
         while sent.front().is_some_and(|at| now - *at >= SPAN) {
             sent.pop_front();
--- a/crates/core/tests/relay/claim.rs
+++ b/crates/core/tests/relay/claim.rs
@@ -3,19 +3,19 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::claim::{Candidate, Claim, number};
+use woodgap_core::relay::claim::{Candidate, Claim, next_number};
 
 const APART: Millis = Millis(3_000);
 
 const USUAL: Candidate = Candidate {
     rank: 0,
-    is_settled: true,
-    is_first: false,
+    is_rank_known: true,
+    is_bootstrapping: false,
     is_stopping: false,
-    life: Millis(60_000),
-    had: None,
-    silence: Millis(300),
-    lot: 0.5,
+    uptime: Millis(60_000),
+    last_held: None,
+    holder_silence: Millis(300),
+    sample: 0.5,
     entries: 88,
 };
 
@@ -24,33 +24,33 @@
 #[case::the_one_that_follows(Candidate { rank: 1, ..USUAL }, true)]
 #[case::one_of_many(Candidate { rank: 2, ..USUAL }, false)]
 #[case::that_stops(Candidate { is_stopping: true, ..USUAL }, false)]
-#[case::that_had_them_just_now(Candidate { had: Some(Millis(3_900)), ..USUAL }, false)]
-#[case::that_had_them_long_ago(Candidate { had: Some(Millis(4_000)), ..USUAL }, true)]
+#[case::that_had_them_just_now(Candidate { last_held: Some(Millis(3_900)), ..USUAL }, false)]
+#[case::that_had_them_long_ago(Candidate { last_held: Some(Millis(4_000)), ..USUAL }, true)]
 // An earlier life of it may have acted, and another entry since.
-#[case::that_has_just_started(Candidate { life: Millis(3_900), ..USUAL }, false)]
-#[case::that_knows_no_rank_yet(Candidate { is_settled: false, ..USUAL }, false)]
+#[case::that_has_just_started(Candidate { uptime: Millis(3_900), ..USUAL }, false)]
+#[case::that_knows_no_rank_yet(Candidate { is_rank_known: false, ..USUAL }, false)]
 #[case::at_the_first_start(
-    Candidate { is_first: true, is_settled: false, life: Millis(10), ..USUAL },
+    Candidate { is_bootstrapping: true, is_rank_known: false, uptime: Millis(10), ..USUAL },
     true
 )]
 // The holder is gone, and so are those that come first, which are still counted: on one of the
 // users' days nobody had the duties for 12 s.
 #[case::one_of_many_that_is_drawn(
-    Candidate { rank: 30, silence: Millis(2_500), lot: 0.05, ..USUAL },
+    Candidate { rank: 30, holder_silence: Millis(2_500), sample: 0.05, ..USUAL },
     true
 )]
 #[case::one_of_many_that_is_not(
-    Candidate { rank: 30, silence: Millis(2_500), lot: 0.1, ..USUAL },
+    Candidate { rank: 30, holder_silence: Millis(2_500), sample: 0.1, ..USUAL },
     false
 )]
 #[case::one_of_few(
-    Candidate { rank: 3, silence: Millis(2_500), lot: 0.99, entries: 8, ..USUAL },
+    Candidate { rank: 3, holder_silence: Millis(2_500), sample: 0.99, entries: 8, ..USUAL },
     true
 )]
-#[case::drawn_while_the_holder_is_heard(Candidate { rank: 30, lot: 0.05, ..USUAL }, false)]
-#[case::long_after_the_first_start(Candidate { is_first: true, rank: 7, ..USUAL }, false)]
+#[case::drawn_while_the_holder_is_heard(Candidate { rank: 30, sample: 0.05, ..USUAL }, false)]
+#[case::long_after_the_first_start(Candidate { is_bootstrapping: true, rank: 7, ..USUAL }, false)]
 fn candidates(#[case] candidate: Candidate, #[case] may_take: bool) {
-    assert_eq!(candidate.may_take(APART), may_take);
+    assert_eq!(candidate.is_eligible(APART), may_take);
 }
 
 const HOLD: Millis = Millis(2_640);
@@ -65,7 +65,7 @@
 #[case::that_is_the_entry_itself("a", false, 300, true)]
 fn a_holder(
     #[case] other: &str,
-    #[case] is_over: bool,
+    #[case] is_released: bool,
     #[case] silence: u64,
     #[case] may_act: bool,
 ) {
@@ -74,11 +74,11 @@
         holder: "a".into(),
         collectors: Vec::new(),
         settled: None,
-        beat: 1,
-        is_over,
+        heartbeat: 1,
+        is_released,
     };
     assert_eq!(
-        claim.yields_to(&other.into(), Millis(silence), HOLD),
+        claim.allows_takeover_by(&other.into(), Millis(silence), HOLD),
         may_act
     );
 }
@@ -100,7 +100,7 @@
                 rows.truncate(rows.len() / 2);
             }
             let heard = used.last().copied();
-            let next = number(rows.last().copied(), heard, unix - Millis(behind));
+            let next = next_number(rows.last().copied(), heard, unix - Millis(behind));
             prop_assert!(heard.is_none_or(|last| next > last));
             used.push(next);
             rows.push(next);
@@ -114,8 +114,8 @@
         takes in 1..20_u64,
         passed in 100..9_000_u64,
     ) {
-        let last = (0..takes).fold(None, |last, at| Some(number(last, None, Millis(first + at))));
-        let next = number(None, None, Millis(first + takes + passed));
+        let last = (0..takes).fold(None, |last, at| Some(next_number(last, None, Millis(first + at))));
+        let next = next_number(None, None, Millis(first + takes + passed));
         prop_assert!(Some(next) > last);
     }
 }
--- a/crates/core/tests/relay/returning.rs
+++ b/crates/core/tests/relay/fleet_restart.rs
@@ -169,8 +169,8 @@
             is_first_start: false,
             is_acting: false,
             life: now - entry.starts,
-            peers: entry.fleet.peers(now),
-            spread: entry.fleet.spread(),
+            peers: entry.fleet.estimate_reachable(now),
+            spread: entry.fleet.propagation_time(),
         }
     }
 
@@ -233,7 +233,7 @@
     }
 
     fn round(&mut self, at: usize, now: Millis) {
-        let asked = self.entries[at].fleet.round(now);
+        let asked = self.entries[at].fleet.gossip_targets(now);
         let mut to: Vec<_> = asked.iter().map(|it| usize::from(it.port())).collect();
         let known: Vec<_> = self.entries[at].fleet.known().map(number).collect();
         to.extend((0..SEEDS).filter(|seed| *seed != at && !known.contains(seed)));
@@ -259,9 +259,9 @@
         }
         let fleet = &mut self.entries[to].fleet;
         for other in &message.told {
-            fleet.told(member(*other), now);
+            fleet.record_gossip(member(*other), now);
         }
-        fleet.heard(member(from), now);
+        fleet.record_contact(member(from), now);
         if !message.is_answer {
             let answer = Message {
                 from: to,
@@ -285,7 +285,7 @@
         }
         let newcomer = member(to);
         let last = entry.introduced.get(&newcomer.data_centre);
-        let others = entry.fleet.introduction(&newcomer, last, now);
+        let others = entry.fleet.peers_for_newcomer(&newcomer, last, now);
         let told: Vec<_> = others.into_iter().take(TOLD).cloned().collect();
         if let Some(last) = told.last() {
             let last = last.name.clone();
--- a/crates/core/tests/relay/outage.rs
+++ b/crates/core/tests/relay/outage.rs
@@ -86,7 +86,7 @@
                 ROUND,
             );
             for other in &members {
-                fleet.heard(other.clone(), Millis::ZERO);
+                fleet.record_contact(other.clone(), Millis::ZERO);
             }
             Entry {
                 fleet,
@@ -139,7 +139,7 @@
         if AWAY.contains(&now.0) {
             self.oldest = self.oldest.max(oldest);
         }
-        if duty::is_stale(oldest, self.entries[0].fleet.spread()) {
+        if duty::is_stale(oldest, self.entries[0].fleet.propagation_time()) {
             self.all_fresh_at = now + STEP;
         }
     }
@@ -160,8 +160,8 @@
             is_first_start: false,
             is_acting: now < entry.acts_until,
             life: Millis(60_000),
-            peers: entry.fleet.peers(now),
-            spread: entry.fleet.spread(),
+            peers: entry.fleet.estimate_reachable(now),
+            spread: entry.fleet.propagation_time(),
         };
         let knows = Knows::Since(now - entry.as_of);
         let Duty::Ask(held) = duty::duty(Subject::Plan, &standing, knows, lot) else {
@@ -193,7 +193,7 @@
         if call.is_answered {
             entry.failures = 0;
             if call.is_by_lot {
-                entry.acts_until = now + duty::term(entry.fleet.patience_nearby());
+                entry.acts_until = now + duty::term(entry.fleet.local_timeout());
             }
             self.confirm(at, now - STEP, now);
         } else {
@@ -204,7 +204,7 @@
 
     fn confirm(&mut self, at: usize, as_of: Millis, now: Millis) {
         let entry = &mut self.entries[at];
-        let spread = entry.fleet.spread();
+        let spread = entry.fleet.propagation_time();
         let was_stale = duty::is_stale(now - entry.as_of, spread);
         entry.as_of = entry.as_of.max(as_of);
         if was_stale && !duty::is_stale(now - entry.as_of, spread) {
@@ -213,7 +213,7 @@
     }
 
     fn round(&mut self, at: usize, now: Millis) {
-        for address in self.entries[at].fleet.round(now) {
+        for address in self.entries[at].fleet.gossip_targets(now) {
             let to = usize::from(address.port());
             self.send(at, to, None, now);
         }
@@ -240,9 +240,9 @@
             ..member(message.from)
         };
         let entry = &mut self.entries[message.to];
-        entry.fleet.heard(sender, now);
+        entry.fleet.record_contact(sender, now);
         let own_age = now - entry.as_of;
-        let spread = entry.fleet.spread();
+        let spread = entry.fleet.propagation_time();
         if let Some(asked) = message.answers {
             self.confirm(message.to, asked - message.age, now);
             return;
--- a/crates/core/tests/relay/roster.rs
+++ b/crates/core/tests/relay/roster.rs
@@ -414,7 +414,7 @@
     #[case] expected: &[&str],
 ) {
     let mut roster = roster(vec![endpoint("a"), endpoint("b")]);
-    roster.note_away(&endpoint("a"), Millis(5));
+    roster.mark_address_reused(&endpoint("a"), Millis(5));
     feed(&mut roster, &[row(&listed)]);
     assert_eq!(usable(&roster, now), expected);
 }
--- a/crates/core/tests/relay/shutdown.rs
+++ b/crates/core/tests/relay/shutdown.rs
@@ -3,26 +3,26 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::shutdown::{End, Looks, Plan, Shutdown};
+use woodgap_core::relay::shutdown::{EndTime, Shutdown, StallDetector, Timings};
 
 const BEGAN: Millis = Millis(100_000);
 
 /// A stop of the relay.
 fn relay(grace: u64) -> Shutdown {
-    let plan = Plan {
+    let plan = Timings {
         grace: Millis(grace),
-        afterwards: Millis(0),
-        callers_leave: Millis(3_500),
+        cleanup: Millis(0),
+        drain_period: Millis(3_500),
     };
     Shutdown::new(BEGAN, &plan)
 }
 
 /// A stop of the product's own entry.
 fn entry(grace: u64) -> Shutdown {
-    let plan = Plan {
+    let plan = Timings {
         grace: Millis(grace),
-        afterwards: Millis(grace / 4),
-        callers_leave: Millis(5_000),
+        cleanup: Millis(grace / 4),
+        drain_period: Millis(5_000),
     };
     Shutdown::new(BEGAN, &plan)
 }
@@ -31,9 +31,9 @@
     BEGAN + Millis(after)
 }
 
-fn end(latest: u64, forecast: Option<u64>) -> End {
-    End {
-        latest: at(latest),
+fn end(latest: u64, forecast: Option<u64>) -> EndTime {
+    EndTime {
+        deadline: at(latest),
         forecast: forecast.map(at),
     }
 }
@@ -53,11 +53,11 @@
 fn only_what_ends_in_time_is_taken(
     #[case] grace: u64,
     #[case] now: u64,
-    #[case] end: End,
+    #[case] end: EndTime,
     #[case] is_taken: bool,
 ) {
     let shutdown = relay(grace);
-    assert_eq!(shutdown.takes(end, at(now)), is_taken);
+    assert_eq!(shutdown.accepts(end, at(now)), is_taken);
 }
 
 #[rstest]
@@ -71,7 +71,7 @@
     #[case] is_over: bool,
 ) {
     let shutdown = relay(8_000);
-    assert_eq!(shutdown.is_over(is_idle, at(now)), is_over);
+    assert_eq!(shutdown.should_exit(is_idle, at(now)), is_over);
 }
 
 #[rstest]
@@ -85,7 +85,7 @@
     #[case] is_idle: bool,
     #[case] is_over: bool,
 ) {
-    assert_eq!(entry(30_000).is_over(is_idle, at(now)), is_over);
+    assert_eq!(entry(30_000).should_exit(is_idle, at(now)), is_over);
 }
 
 /// What is kept for the steps after the answers is not there for answers.
@@ -99,8 +99,8 @@
     #[case] last_word: u64,
     #[case] ends: u64,
 ) {
-    assert_eq!(shutdown.last_word(), at(last_word));
-    assert_eq!(shutdown.ends(), at(ends));
+    assert_eq!(shutdown.reply_deadline(), at(last_word));
+    assert_eq!(shutdown.deadline(), at(ends));
 }
 
 /// One that was drained before it was told to stop waits for callers from then on, and ends
@@ -117,9 +117,9 @@
     #[case] is_idle: bool,
     #[case] is_over: bool,
 ) {
-    let shutdown = entry(30_000).told(at(told));
-    assert_eq!(shutdown.is_over(is_idle, at(now)), is_over);
-    assert_eq!(shutdown.ends(), entry(30_000).ends());
+    let shutdown = entry(30_000).signalled(at(told));
+    assert_eq!(shutdown.should_exit(is_idle, at(now)), is_over);
+    assert_eq!(shutdown.deadline(), entry(30_000).deadline());
 }
 
 /// A signal counts from when it is seen, or from before a standstill in which it may have come;
@@ -137,11 +137,11 @@
     #[case] seen: u64,
     #[case] told: u64,
 ) {
-    let mut looks = Looks::new(at(0));
+    let mut looks = StallDetector::new(at(0));
     for look in looked {
-        looks.look(at(*look));
+        looks.poll(at(*look));
     }
-    assert_eq!(looks.told(at(seen)), at(told));
+    assert_eq!(looks.signal_time(at(seen)), at(told));
 }
 
 proptest! {
@@ -156,12 +156,12 @@
     ) {
         let shutdown = relay(grace);
         let end = end(now + lasts, forecast.map(|lasts| now + lasts));
-        if shutdown.takes(end, at(now)) {
-            let counts = if now < 2_500 { end.forecast.unwrap_or(end.latest).min(end.latest) } else { end.latest };
-            prop_assert!(counts <= shutdown.last_word());
-            prop_assert!(shutdown.may_take(end.latest, at(now)));
+        if shutdown.accepts(end, at(now)) {
+            let counts = if now < 2_500 { end.forecast.unwrap_or(end.deadline).min(end.deadline) } else { end.deadline };
+            prop_assert!(counts <= shutdown.reply_deadline());
+            prop_assert!(shutdown.may_accept(end.deadline, at(now)));
         }
-        prop_assert!(shutdown.last_word() <= shutdown.ends());
-        prop_assert!(shutdown.ends() <= BEGAN + Millis(grace));
+        prop_assert!(shutdown.reply_deadline() <= shutdown.deadline());
+        prop_assert!(shutdown.deadline() <= BEGAN + Millis(grace));
     }
 }
--- a/crates/core/tests/relay/farewell.rs
+++ b/crates/core/tests/relay/stop_notices.rs
@@ -29,7 +29,7 @@
         let own = member.data_centre.clone();
         let mut fleet = Fleet::new(member.name.clone(), own, ROUND);
         for other in &members {
-            fleet.heard(other.clone(), STOP);
+            fleet.record_contact(other.clone(), STOP);
         }
         Entry {
             member: member.clone(),
@@ -93,24 +93,24 @@
 ) {
     let asking = &mut entries[at];
     if asking.member.stopping {
-        for address in asking.fleet.farewell(now) {
+        for address in asking.fleet.stop_notice_targets(now) {
             let told = usize::from(address.port() - 7_000);
             if !is_lost(random) {
                 let farewell = entries[at].member.clone();
-                entries[told].fleet.heard(farewell, now);
+                entries[told].fleet.record_contact(farewell, now);
             }
         }
     }
-    for address in entries[at].fleet.round(now) {
+    for address in entries[at].fleet.gossip_targets(now) {
         let asked = usize::from(address.port() - 7_000);
         if is_lost(random) {
             continue;
         }
         let question = entries[at].member.clone();
-        entries[asked].fleet.heard(question, now);
+        entries[asked].fleet.record_contact(question, now);
         if !is_lost(random) {
             let answer = entries[asked].member.clone();
-            entries[at].fleet.heard(answer, now);
+            entries[at].fleet.record_contact(answer, now);
         }
     }
 }
@@ -143,7 +143,12 @@
 fn farewells_are_few() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut entries = entries(32, 55, &mut random);
-    let mut told = |after: u64| entries[0].fleet.farewell(STOP + Millis(after)).len();
+    let mut told = |after: u64| {
+        entries[0]
+            .fleet
+            .stop_notice_targets(STOP + Millis(after))
+            .len()
+    };
     let counts = [1_000, 1_010, 1_300, 1_600, 1_900].map(&mut told);
     assert_eq!(counts, [31, 0, 31, 31, 0]);
 }
@@ -153,7 +158,7 @@
 fn all_hear_of_it_where_callers_may_be_sent_to_all() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut entries = entries(3, 2, &mut random);
-    assert_eq!(entries[0].fleet.farewell(STOP).len(), 4);
+    assert_eq!(entries[0].fleet.stop_notice_targets(STOP).len(), 4);
 }
 
 /// A message that was overtaken by the news of the stop does not undo it.
@@ -165,14 +170,14 @@
         stopping: true,
         ..before.clone()
     };
-    fleet.heard(stopping, STOP);
-    fleet.heard(before.clone(), STOP);
+    fleet.record_contact(stopping, STOP);
+    fleet.record_contact(before.clone(), STOP);
     assert_eq!(fleet.live(STOP).count(), 0);
     let next_life = Member {
         incarnation: name::Incarnation(2),
         ..before
     };
-    fleet.heard(next_life, STOP);
+    fleet.record_contact(next_life, STOP);
     assert_eq!(fleet.live(STOP).count(), 1);
 }
 
@@ -187,8 +192,8 @@
     };
     let live_after = |first: Member, second: Member| {
         let mut fleet = Fleet::new("own".into(), "a".into(), ROUND);
-        fleet.heard(first, STOP);
-        fleet.heard(second, STOP);
+        fleet.record_contact(first, STOP);
+        fleet.record_contact(second, STOP);
         fleet.live(STOP).count()
     };
     assert_eq!(
--- a/crates/core/tests/relay/table.rs
+++ b/crates/core/tests/relay/table.rs
@@ -86,7 +86,7 @@
     });
     let table = Table::new(plan).unwrap();
     let route = table.route("album.example", "/a/").unwrap();
-    assert_eq!(table.draw(route, drawn), service);
+    assert_eq!(table.pick_service(route, drawn), service);
 }
 
 #[test]
--- a/crates/core/tests/relay/warming.rs
+++ b/crates/core/tests/relay/warming.rs
@@ -8,7 +8,7 @@
 use woodgap_core::relay::Roster;
 use woodgap_core::relay::prefix::mix;
 use woodgap_core::relay::roster::Change;
-use woodgap_core::relay::warming::{Sector, Sent, division};
+use woodgap_core::relay::warming::{RingRange, SendHistory, split_rate};
 
 use crate::roster::{RESERVE, endpoint};
 
@@ -37,23 +37,23 @@
     knows: impl Fn(usize, usize) -> bool,
 ) -> (usize, f64) {
     let names: Vec<_> = (0..entries).map(entry).collect();
-    let (senders, each) = division(rate, entries);
+    let (senders, each) = split_rate(rate, entries);
     let mut arrivals: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
     for own in 0..entries {
         let others = names.iter().enumerate();
         let others = others.filter(|(at, _)| *at != own && knows(own, *at));
-        let sector = Sector::new(&names[own], others.map(|(_, name)| name), senders);
+        let sector = RingRange::new(&names[own], others.map(|(_, name)| name), senders);
         let mine: Vec<_> = (0..endpoints)
-            .filter(|at| sector.holds(&cold(*at)))
+            .filter(|at| sector.contains(&cold(*at)))
             .collect();
-        let mut sent = Sent::default();
+        let mut sent = SendHistory::default();
         for at in mine {
             let life = cold(at);
             // Entries do not tick together.
             let shift = mix(own as u64, at as u64) % 1_000;
             for now in (shift..shift + 3_000).step_by(10) {
                 if sent.may_send(&life, each, Millis(now)) {
-                    sent.note(&life, Millis(now));
+                    sent.record(&life, Millis(now));
                     arrivals.entry(at).or_default().push(now);
                 }
             }
@@ -133,7 +133,7 @@
     let mut row = endpoint("i-1");
     row.cold_for = Millis(3_000);
     roster.replace(vec![row.clone(), endpoint("i-2")], 1, Millis(0), Millis(0));
-    roster.note_away(&row, Millis(5));
+    roster.mark_address_reused(&row, Millis(5));
     row.cold_for = Millis(1_000);
     roster.apply(vec![(2, Change::Listed(row))], Millis(9), Millis(9));
     let usable = roster.usable(
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -8,7 +8,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::config::document::Measure;
 use woodgap_core::control::Event;
-use woodgap_core::relay::shutdown::{self, End, Looks, MARGIN, Plan, Shutdown};
+use woodgap_core::relay::shutdown::{self, EndTime, KILL_MARGIN, Shutdown, StallDetector, Timings};
 
 use crate::caller::entries::LIFETIME;
 use crate::request::Head;
@@ -36,16 +36,16 @@
 /// use woodgap_entry::stop::shutdown;
 ///
 /// let told = shutdown(Some(Millis(8_000)), Millis(0));
-/// assert_eq!(told.ends(), Millis(5_500));
-/// assert_eq!(shutdown(None, Millis(0)).ends(), Millis(599_500));
+/// assert_eq!(told.deadline(), Millis(5_500));
+/// assert_eq!(shutdown(None, Millis(0)).deadline(), Millis(599_500));
 /// ```
 pub fn shutdown(grace: Option<Millis>, now: Millis) -> Shutdown {
-    let plan = Plan {
+    let plan = Timings {
         grace: grace.unwrap_or(LONGEST),
-        afterwards: grace.map_or(Millis(0), afterwards),
+        cleanup: grace.map_or(Millis(0), afterwards),
         // All that asked for entries before the stop have asked again by then, and were
         // told to use another one.
-        callers_leave: LIFETIME,
+        drain_period: LIFETIME,
     };
     Shutdown::new(now, &plan)
 }
@@ -72,7 +72,7 @@
     let (Some(grace), Some(shutdown)) = (shared.settings.grace, shared.shutdown()) else {
         return longest;
     };
-    longest.min(shutdown.began() + (grace - MARGIN) - shared.clock.now())
+    longest.min(shutdown.started() + (grace - KILL_MARGIN) - shared.clock.now())
 }
 
 /// Whether an attempt that begins now is likely to end before the entry does.
@@ -85,11 +85,11 @@
     // Nothing bounds an answer that goes on. One that sends nothing for so long is given
     // up, and any is meant to be there when its class's target is.
     let silence = shared.settings.dispatch.endpoint_timeout;
-    let end = End {
-        latest: now + target.map_or(silence, |target| silence.max(target)),
+    let end = EndTime {
+        deadline: now + target.map_or(silence, |target| silence.max(target)),
         forecast: target.map(|target| now + target),
     };
-    shutdown.takes(end, now)
+    shutdown.accepts(end, now)
 }
 
 /// Waits until an attempt would begin too late to end before the entry does.
@@ -102,7 +102,7 @@
 
 /// Waits until whoever still waits for an answer is to be told that it will not be whole.
 pub async fn last_word(shared: &Shared) {
-    let last = shared.stopped().await.last_word();
+    let last = shared.stopped().await.reply_deadline();
     let rest = last - shared.clock.now();
     tokio::time::sleep(Duration::from_millis(rest.0)).await;
 }
@@ -170,16 +170,16 @@
 /// standstill in which the signal may have come, as the grace counts from then.
 async fn told(shared: &Shared, signals: &mut Signals) -> Millis {
     let now = || shared.clock.now();
-    let mut looks = Looks::new(now());
-    let look = Duration::from_millis(shutdown::LOOK.0);
+    let mut looks = StallDetector::new(now());
+    let look = Duration::from_millis(shutdown::POLL_INTERVAL.0);
     loop {
         tokio::select! {
             () = signals.next() => break,
             () = shared.ended() => return now(),
-            () = tokio::time::sleep(look) => looks.look(now()),
+            () = tokio::time::sleep(look) => looks.poll(now()),
         }
     }
-    let told = looks.told(now());
+    let told = looks.signal_time(now());
     log::info!(noticed_ms = (now() - told).0; "told to stop: finishing what runs");
     told
 }
@@ -187,10 +187,10 @@
 /// Waits until nothing runs; false if that took too long.
 async fn finish(shared: &Shared) -> bool {
     // An operator may have drained the entry long before.
-    let shutdown = shared.stopped().await.told(shared.clock.now());
+    let shutdown = shared.stopped().await.signalled(shared.clock.now());
     loop {
         let running = shared.running.count();
-        if shutdown.is_over(running == 0, shared.clock.now()) {
+        if shutdown.should_exit(running == 0, shared.clock.now()) {
             if running > 0 {
                 log::error!(running = running; "answers are not done in time: cutting them off");
             }
--- a/crates/fake/tests/placement/site.rs
+++ b/crates/fake/tests/placement/site.rs
@@ -8,7 +8,7 @@
 use woodgap_core::name;
 use woodgap_core::relay::Ask;
 use woodgap_core::relay::engine::{Loads, Report, Ticket};
-use woodgap_core::relay::fleet::ASKED;
+use woodgap_core::relay::fleet::FANOUT;
 use woodgap_core::relay::health::Sign;
 use woodgap_core::relay::plan;
 use woodgap_core::relay::roster::Endpoint;
@@ -357,8 +357,8 @@
                 continue;
             }
             let next = self.asks_next[entry];
-            self.asks_next[entry] += ASKED;
-            for step in 0..ASKED.min(count - 1) {
+            self.asks_next[entry] += FANOUT;
+            for step in 0..FANOUT.min(count - 1) {
                 let other = (entry + 1 + (next + step) % (count - 1)) % count;
                 self.tell_one(entry, other, now);
                 self.tell_one(other, entry, now);
--- a/crates/relay/src/duties.rs
+++ b/crates/relay/src/duties.rs
@@ -112,7 +112,7 @@
 impl Keeper {
     /// Does what is to be done now; gives back the pause until the next look.
     async fn look(&mut self) -> Millis {
-        let may_take = self.candidate().may_take(self.settings.apart);
+        let may_take = self.candidate().is_eligible(self.settings.apart);
         let is_stopping = self.state.stopping_since().is_some();
         let has_tenure = self.tenure.is_some();
         self.hold.want(match (is_stopping, may_take || has_tenure) {
@@ -155,16 +155,16 @@
         let standing = state.standing();
         Candidate {
             rank: standing.rank,
-            is_settled: standing.is_settled(),
-            is_first: standing.is_first_start && standing.is_seed,
+            is_rank_known: standing.is_settled(),
+            is_bootstrapping: standing.is_first_start && standing.is_seed,
             is_stopping: state.stopping_since().is_some(),
-            life: standing.life,
-            had: self
+            uptime: standing.life,
+            last_held: self
                 .had
                 .filter(|_| self.tenure.is_none())
                 .map(|at| state.now() - at),
-            silence: state.silence_of_holder(),
-            lot: claim::lot(state.claim.borrow().as_ref(), &state.settings.name),
+            holder_silence: state.silence_of_holder(),
+            sample: claim::sample(state.claim.borrow().as_ref(), &state.settings.name),
             entries: state.fleet.borrow().size(),
         }
     }
@@ -184,7 +184,8 @@
         let state = &self.state;
         let claim = state.claim.borrow();
         let silence = state.silence_of_holder();
-        let yields = |claim: &Claim| claim.yields_to(&state.settings.name, silence, TERM.hold());
+        let yields =
+            |claim: &Claim| claim.allows_takeover_by(&state.settings.name, silence, TERM.hold());
         claim.as_ref().is_none_or(yields)
     }
 
@@ -195,7 +196,7 @@
         let state = &self.state;
         let heard = state.claim.borrow().as_ref().map(|claim| claim.number);
         let written = Some(known.register.number).filter(|number| *number > 0);
-        let number = claim::number(written, heard, state.unix());
+        let number = claim::next_number(written, heard, state.unix());
         let holder = state.settings.name.clone();
         let settled = self.settled(&known);
         let next = Register {
@@ -255,14 +256,14 @@
     }
 
     /// Tells the others who has the duties.
-    fn proclaim(&self, is_over: bool) {
+    fn proclaim(&self, is_released: bool) {
         let Some(tenure) = &self.tenure else { return };
         let state = &self.state;
         let mut collectors = vec![state.settings.peer_listen];
         let now = state.now();
         let fleet = state.fleet.borrow();
         let next = fleet
-            .answering(now)
+            .reachable(now)
             .find(|it| !it.stopping && it.reaches_platform);
         collectors.extend(next.map(|it| it.peer));
         drop(fleet);
@@ -271,8 +272,8 @@
             holder: tenure.authority.holder.clone(),
             collectors,
             settled: tenure.known.register.settled,
-            beat: state.now().0 / BEAT.0,
-            is_over,
+            heartbeat: state.now().0 / BEAT.0,
+            is_released,
         };
         state.take_claim(claim);
     }
--- a/crates/relay/src/front/directory.rs
+++ b/crates/relay/src/front/directory.rs
@@ -8,7 +8,7 @@
 use actix_http::{Request, Response, StatusCode};
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::fleet::ENOUGH_NEAR;
+use woodgap_core::relay::fleet::MIN_LOCAL_ENTRIES;
 
 use crate::dialect::Question;
 use crate::state::State;
@@ -71,7 +71,7 @@
         .filter(|member| is_near(&member.data_centre))
         .map(|member| member.front)
         .collect();
-    if near.len() >= ENOUGH_NEAR {
+    if near.len() >= MIN_LOCAL_ENTRIES {
         return near.into_iter().take(MOST_ENTRIES).collect();
     }
     let all: Vec<_> = live.iter().map(|member| member.front).collect();
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -103,7 +103,7 @@
             self.take_leave(now);
         }
         self.tell_counts(now);
-        let mut to = self.state.fleet.borrow_mut().round(now);
+        let mut to = self.state.fleet.borrow_mut().gossip_targets(now);
         to.extend(self.unheard());
         let question = self.message(0, false);
         for address in to {
@@ -114,7 +114,7 @@
     /// Tells those that name this entry to callers that it stops. Nothing is asked, and no
     /// load told: 59 whole messages would take 60 ms of a link of 10 Mbit/s, by calculation.
     fn take_leave(&self, now: Millis) {
-        let to = self.state.fleet.borrow_mut().farewell(now);
+        let to = self.state.fleet.borrow_mut().stop_notice_targets(now);
         if to.is_empty() {
             return;
         }
@@ -142,7 +142,7 @@
             return;
         }
         self.summarised = now;
-        let answering = self.state.fleet.borrow().answering(now).count();
+        let answering = self.state.fleet.borrow().reachable(now).count();
         if self.newcomers > 0 {
             log::info!(newly = self.newcomers, answering = answering; "other entries answer");
             self.newcomers = 0;
@@ -210,7 +210,7 @@
     fn told(&mut self) -> Vec<Member> {
         let now = self.state.now();
         let fleet = self.state.fleet.borrow();
-        let answering = fleet.answering_after(self.told_last.as_ref(), now);
+        let answering = fleet.reachable_after(self.told_last.as_ref(), now);
         let told: Vec<_> = answering.take(USUALLY_TOLD).cloned().collect();
         if let Some(last) = told.last() {
             self.told_last = Some(last.name.clone());
@@ -224,7 +224,7 @@
         let now = self.state.now();
         let fleet = self.state.fleet.borrow();
         let last = self.introduced.get(&newcomer.data_centre);
-        let others = fleet.introduction(newcomer, last, now);
+        let others = fleet.peers_for_newcomer(newcomer, last, now);
         let before = answer.told.len();
         if let Err(error) = message::fill(answer, &others) {
             log::debug!(error = error.to_string(); "an entry can't be told of");
@@ -301,12 +301,12 @@
         {
             let mut fleet = self.state.fleet.borrow_mut();
             for member in &message.told {
-                fleet.told(member.clone(), now);
+                fleet.record_gossip(member.clone(), now);
             }
-            if message.from.stopping && !fleet.has_stopped(&message.from) {
+            if message.from.stopping && !fleet.has_announced_stop(&message.from) {
                 self.stopping.push(message.from.name.clone());
             }
-            if fleet.heard(message.from.clone(), now) {
+            if fleet.record_contact(message.from.clone(), now) {
                 self.newcomers += 1;
                 log::debug!(entry = message.from.name.as_str(); "another entry answers");
             }
@@ -347,7 +347,7 @@
     fn ask_back(&mut self, message: &Message) {
         let own = knowledge(&self.state);
         let told = message.knows;
-        let spread = self.state.fleet.borrow().spread();
+        let spread = self.state.fleet.borrow().propagation_time();
         if told.plan == own.plan && duty::asks_back(own.plan_age, told.plan_age, spread) {
             let question = self.message(0, false);
             self.ask(question, message.from.peer);
--- a/crates/relay/src/request/admit.rs
+++ b/crates/relay/src/request/admit.rs
@@ -126,7 +126,7 @@
     let table = table(state)?;
     let route = table.route(&host(request), request.path());
     let latest = route.map_or(latest, |route| latest.min(now + route.timeout));
-    if shutdown.may_take(latest, now) {
+    if shutdown.may_accept(latest, now) {
         return Ok(());
     }
     Err(Problem::stopping())
@@ -195,7 +195,7 @@
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Problem> {
-    if table.asks_key(route) && !state.trusts_keys() {
+    if table.requires_key(route) && !state.trusts_keys() {
         return Err(not_ready(
             "keys can't be checked: the configuration is not confirmed",
         ));
@@ -217,7 +217,7 @@
 }
 
 fn draw(table: &Table, route: &Route) -> Result<Arc<Service>, Problem> {
-    let service = table.draw(route, rand::random());
+    let service = table.pick_service(route, rand::random());
     let service = service.and_then(|name| table.service(name));
     // The plan was checked: each route has a service that exists.
     let missing = || Problem::not_run(Code::NoEndpoint, "the route has no service");
--- a/crates/relay/src/request/attempt.rs
+++ b/crates/relay/src/request/attempt.rs
@@ -89,7 +89,7 @@
         Err(failure) => {
             if matches!(failure, Failure::Declined(Decline::Misdirected)) {
                 let mut roster = state.roster.borrow_mut();
-                roster.note_away(&choice.endpoint, state.now());
+                roster.mark_address_reused(&choice.endpoint, state.now());
             }
             place.note(sign(&failure));
             if matches!(failure, Failure::Cut(_)) {
--- a/crates/relay/src/request/place.rs
+++ b/crates/relay/src/request/place.rs
@@ -48,7 +48,7 @@
         let ticket = state.loads.borrow_mut().begin(choice, &ask, now);
         state.pool.borrow_mut().occupy(ticket.endpoint());
         if state.roster.borrow().is_cold(ticket.endpoint(), now) {
-            state.warmed.borrow_mut().note(ticket.endpoint(), now);
+            state.warmed.borrow_mut().record(ticket.endpoint(), now);
         }
         Self {
             state: Rc::clone(state),
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -14,7 +14,7 @@
 use woodgap_core::relay::engine::Choice;
 use woodgap_core::relay::plan::Kind;
 use woodgap_core::relay::roster::Endpoint;
-use woodgap_core::relay::shutdown::End;
+use woodgap_core::relay::shutdown::EndTime;
 use woodgap_core::verdict::Verdict;
 
 use crate::dialect::Decline;
@@ -190,14 +190,14 @@
     let warmed = state.warmed.borrow();
     let is_settled = duty::is_settled(state.life());
     // Asked for only once there is a cold one.
-    let share = LazyCell::new(|| state.fleet.borrow().warming(rate));
+    let share = LazyCell::new(|| state.fleet.borrow().warmup_share(rate));
     let may_send = |endpoint: &&Endpoint| {
         let life = &endpoint.life;
         if !roster.is_cold(life, now) {
             return true;
         }
         let (sector, each) = &*share;
-        is_settled && sector.holds(life) && warmed.may_send(life, *each, now)
+        is_settled && sector.contains(life) && warmed.may_send(life, *each, now)
     };
     usable.into_iter().filter(may_send).collect()
 }
@@ -214,12 +214,12 @@
 /// Whether the answer ends before this entry does. Asked before each attempt, as a body that
 /// comes late, or an attempt that failed late, leaves less time than there was at first.
 fn ends_in_time(state: &State, request: &Admitted, choice: &Choice, now: Millis) -> bool {
-    let end = End {
-        latest: request.deadline,
+    let end = EndTime {
+        deadline: request.deadline,
         forecast: choice.likely_end(request.route.kind == Kind::Stream, now),
     };
     let shutdown = state.shutdown();
-    shutdown.is_none_or(|shutdown| shutdown.takes(end, now))
+    shutdown.is_none_or(|shutdown| shutdown.accepts(end, now))
 }
 
 /// The own part of the connections that an endpoint accepts from all entries.
--- a/crates/relay/src/start.rs
+++ b/crates/relay/src/start.rs
@@ -204,7 +204,7 @@
                 Err(error) => log::info!(error = error.to_string(); "not announced yet"),
             }
         }
-        let is_alone = state.fleet.borrow().answering(state.now()).next().is_none();
+        let is_alone = state.fleet.borrow().reachable(state.now()).next().is_none();
         if is_alone {
             ask_for_others(&state, &mut faults).await;
         }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -78,7 +78,7 @@
     /// The endpoints.
     pub roster: RefCell<Roster>,
     /// What was sent to cold ones.
-    pub warmed: RefCell<warming::Sent>,
+    pub warmed: RefCell<warming::SendHistory>,
     /// Their load.
     pub loads: RefCell<Loads>,
     /// Connections to them.
@@ -243,7 +243,7 @@
     /// Takes in who has the duties; an earlier claim changes nothing.
     pub fn take_claim(&self, claim: Claim) {
         let mut known = self.claim.borrow_mut();
-        if known.as_ref().is_some_and(|known| !claim.is_later(known)) {
+        if known.as_ref().is_some_and(|known| !claim.supersedes(known)) {
             return;
         }
         if let Some(through) = claim.settled {
@@ -251,7 +251,9 @@
             self.sums.borrow_mut().settled(through);
         }
         self.claim_heard.set(self.now());
-        let has_news = known.as_ref().is_none_or(|known| claim.has_news(known));
+        let has_news = known
+            .as_ref()
+            .is_none_or(|known| claim.differs_beyond_heartbeat(known));
         *known = Some(claim);
         drop(known);
         if has_news {
@@ -274,7 +276,7 @@
 
     /// Since when the relay is stopping.
     pub fn stopping_since(&self) -> Option<Millis> {
-        self.shutdown().map(|shutdown| shutdown.began())
+        self.shutdown().map(|shutdown| shutdown.started())
     }
 
     /// Begins to stop, told to at this moment; the other entries hear of it at once.
@@ -348,8 +350,8 @@
             is_first_start: self.settings.first_start,
             is_acting: !is_stopping && now < self.acts_until.get(),
             life: self.life(),
-            peers: fleet.peers(now),
-            spread: fleet.spread(),
+            peers: fleet.estimate_reachable(now),
+            spread: fleet.propagation_time(),
         }
     }
 
@@ -370,7 +372,7 @@
     /// Stands in for the readers of the platform for a while: this entry was answered
     /// when nobody's plan was confirmed.
     pub fn stand_in(&self) {
-        let term = duty::term(self.fleet.borrow().patience_nearby());
+        let term = duty::term(self.fleet.borrow().local_timeout());
         self.acts_until.set(self.now() + term);
         log::info!(for_ms = term.0; "this entry reads the platform for the others");
     }
@@ -387,7 +389,7 @@
 
     fn is_plan_stale(&self) -> bool {
         let age = self.force.borrow().age(self.now());
-        duty::is_stale(age, self.fleet.borrow().spread())
+        duty::is_stale(age, self.fleet.borrow().propagation_time())
     }
 
     /// Whether this entry is among those that others ask first, or knows of no others.
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/stop.rs
@@ -6,7 +6,7 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::shutdown::{LOOK, Looks, Plan, Shutdown};
+use woodgap_core::relay::shutdown::{POLL_INTERVAL, Shutdown, StallDetector, Timings};
 
 use crate::state::{Announcement, State};
 
@@ -25,13 +25,13 @@
 /// use woodgap_core::clock::Millis;
 /// use woodgap_relay::stop::plan;
 ///
-/// assert_eq!(plan(Millis(8_000)).callers_leave, Millis(3_500));
+/// assert_eq!(plan(Millis(8_000)).drain_period, Millis(3_500));
 /// ```
-pub fn plan(grace: Millis) -> Plan {
-    Plan {
+pub fn plan(grace: Millis) -> Timings {
+    Timings {
         grace,
-        afterwards: Millis(0),
-        callers_leave: CALLERS_LEAVE,
+        cleanup: Millis(0),
+        drain_period: CALLERS_LEAVE,
     }
 }
 
@@ -45,7 +45,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut reload = signal(SignalKind::hangup())?;
-    let mut looks = Looks::new(state.now());
+    let mut looks = StallDetector::new(state.now());
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -53,10 +53,10 @@
             // Addresses and bounds hold for the life of a process; what changes
             // in between comes from the platform.
             _ = reload.recv() => log::info!("told to reload: the settings hold until the next start"),
-            () = tokio::time::sleep(Duration::from_millis(LOOK.0)) => looks.look(state.now()),
+            () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL.0)) => looks.poll(state.now()),
         }
     }
-    wind_down(state, looks.told(state.now())).await;
+    wind_down(state, looks.signal_time(state.now())).await;
     Ok(())
 }
 
@@ -88,7 +88,7 @@
 /// of an answer are told shortly before that there will be none.
 async fn drain(state: &State, shutdown: &Shutdown) {
     let mut is_said = false;
-    let mut checked = shutdown.began();
+    let mut checked = shutdown.started();
     loop {
         let now = state.now();
         // What came while the process stood still is yet to be read: 20 of 20 requests of open
@@ -98,10 +98,10 @@
         let is_idle = !stood_still && state.running.get() == 0 && state.unwritten.get() == 0;
         // A look that comes late still leaves the time to say and write the last word.
         let can_end = is_idle || is_said;
-        if can_end && shutdown.is_over(is_idle, now) {
+        if can_end && shutdown.should_exit(is_idle, now) {
             return;
         }
-        if now >= shutdown.last_word() {
+        if now >= shutdown.reply_deadline() {
             state.close();
             is_said = true;
         }
--- a/crates/relay/src/upkeep.rs
+++ b/crates/relay/src/upkeep.rs
@@ -55,7 +55,7 @@
             "an endpoint is taken for gone"
         );
         state.pool.borrow_mut().close(life);
-        let is_outlived = state.roster.borrow().has_another(life);
+        let is_outlived = state.roster.borrow().has_other_life(life);
         if is_outlived {
             crash::outlived(state, life);
         }
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -27,8 +27,8 @@
         holder: name::Entry::from("dub-a-very-long-name-of-an-entry-1"),
         collectors: vec![member(1).peer, member(2).peer],
         settled: Some(Window(u64::MAX)),
-        beat: u64::MAX,
-        is_over: true,
+        heartbeat: u64::MAX,
+        is_released: true,
     }
 }
 
