--- a/crates/core/tests/relay/outage.rs
+++ b/crates/core/tests/relay/outage.rs
@@ -88,7 +88,7 @@
                 ROUND,
             );
             for other in &members {
-                fleet.heard(other.clone(), Millis::ZERO);
+                fleet.record_contact(other.clone(), Millis::ZERO);
             }
             Entry {
                 fleet,
@@ -141,7 +141,7 @@
         if OUTAGE.contains(&now.0) {
             self.max_age = self.max_age.max(max_age);
         }
-        if polling::is_stale(max_age, self.entries[0].fleet.spread()) {
+        if polling::is_stale(max_age, self.entries[0].fleet.propagation_time()) {
             self.all_confirmed_at = now + STEP;
         }
     }
@@ -162,8 +162,8 @@
             is_first_start: false,
             is_substitute: now < entry.substitute_until,
             uptime: Millis(60_000),
-            peers: entry.fleet.peers(now),
-            propagation_delay: entry.fleet.spread(),
+            peers: entry.fleet.estimate_reachable(now),
+            propagation_delay: entry.fleet.propagation_time(),
         };
         let confirmation = Confirmation::Age(now - entry.as_of);
         let PollDecision::Poll(wait) = polling::decide(Subject::Plan, &status, confirmation, draw)
@@ -197,7 +197,7 @@
             entry.failures = 0;
             if call.is_drawn {
                 entry.substitute_until =
-                    now + polling::substitute_term(entry.fleet.patience_nearby());
+                    now + polling::substitute_term(entry.fleet.local_timeout());
             }
             self.confirm(at, now - STEP, now);
         } else {
@@ -208,7 +208,7 @@
 
     fn confirm(&mut self, at: usize, as_of: Millis, now: Millis) {
         let entry = &mut self.entries[at];
-        let propagation_delay = entry.fleet.spread();
+        let propagation_delay = entry.fleet.propagation_time();
         let was_stale = polling::is_stale(now - entry.as_of, propagation_delay);
         entry.as_of = entry.as_of.max(as_of);
         if was_stale && !polling::is_stale(now - entry.as_of, propagation_delay) {
@@ -217,7 +217,7 @@
     }
 
     fn round(&mut self, at: usize, now: Millis) {
-        for address in self.entries[at].fleet.round(now) {
+        for address in self.entries[at].fleet.gossip_targets(now) {
             let to = usize::from(address.port());
             self.send(at, to, None, now);
         }
@@ -244,9 +244,9 @@
             ..member(message.from)
         };
         let entry = &mut self.entries[message.to];
-        entry.fleet.heard(sender, now);
+        entry.fleet.record_contact(sender, now);
         let own_age = now - entry.as_of;
-        let propagation_delay = entry.fleet.spread();
+        let propagation_delay = entry.fleet.propagation_time();
         if let Some(queried_at) = message.answers {
             self.confirm(message.to, queried_at - message.age, now);
             return;
