--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -11,7 +11,7 @@
 use crate::control::event::{Event, Own};
 use crate::endpoint::{self, Watch};
 use crate::instance::Instance;
-use crate::membership::{Change, Detector, Figures, Member, Members, detector};
+use crate::membership::{Change, Detector, Heartbeat, Member, Members, detector};
 use crate::message::Message;
 use crate::name;
 use crate::permit::View;
@@ -87,7 +87,7 @@
     /// Takes in one event and appends what is to be done.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         let mut changes = Vec::new();
-        let states = self.members().own().figures.endpoints;
+        let states = self.members().own().heartbeat.endpoints;
         let news = News::of(&event);
         self.take(now, event, out, &mut changes);
         let moved = !changes.is_empty();
@@ -101,7 +101,7 @@
                 dispatch.news(&News::Members, step);
             });
         }
-        let news = if states == self.members().own().figures.endpoints {
+        let news = if states == self.members().own().heartbeat.endpoints {
             news
         } else {
             News::Endpoints
@@ -202,21 +202,21 @@
     }
 
     fn renew_digest(&mut self) {
-        let figures = self.members().own().figures;
+        let heartbeat = self.members().own().heartbeat;
         let endpoints = self.directory.digest();
-        self.detector.set_figures(Figures {
+        self.detector.set_heartbeat(Heartbeat {
             endpoints,
-            ..figures
+            ..heartbeat
         });
     }
 
     fn own(&mut self, own: Own) {
-        let figures = self.members().own().figures;
-        self.detector.set_figures(Figures {
+        let heartbeat = self.members().own().heartbeat;
+        self.detector.set_heartbeat(Heartbeat {
             revision: own.revision,
             ready: own.ready,
             running: own.running,
-            ..figures
+            ..heartbeat
         });
     }
 
@@ -228,7 +228,7 @@
         changes: &mut Vec<Change>,
     ) {
         self.step(now, out, changes, |detector, step| {
-            detector.listed(instances, step);
+            detector.update_listed(instances, step);
         });
         let leaving = self.directory.update(instances);
         self.assign(now);
@@ -246,7 +246,7 @@
         match message {
             Message::Membership(message) => {
                 if let Some(sender) = message.first_hand(from) {
-                    self.exchange.heard(now, from, sender.figures.revision);
+                    self.exchange.heard(now, from, sender.heartbeat.revision);
                 }
                 self.step(now, out, changes, |detector, step| {
                     detector.receive(from, message, step);
@@ -310,7 +310,7 @@
         let own = members.own().incarnation;
         for member in members.active().filter(|member| member.incarnation != own) {
             self.exchange
-                .news(now, member.incarnation, member.figures.revision);
+                .news(now, member.incarnation, member.heartbeat.revision);
         }
         let mut wanted = Vec::new();
         self.exchange.tick(now, &mut wanted);
@@ -352,7 +352,7 @@
             Change::Leaving(life) if life == own => out.push(Action::Leave),
             Change::Superseded => out.push(Action::Stop),
             Change::Gone(life) => self.exchange.gone(life),
-            Change::Joined(_) | Change::Leaving(_) | Change::Returned => {}
+            Change::Joined(_) | Change::Leaving(_) | Change::Refuted => {}
         }
     }
 
--- a/crates/core/src/endpoint/watch.rs
+++ b/crates/core/src/endpoint/watch.rs
@@ -206,7 +206,7 @@
 
     /// Sends all states to an entry whose digest differs from ours.
     pub fn compare(&mut self, with: &Member, step: &mut Step<'_>) {
-        if with.figures.endpoints == step.members.own().figures.endpoints {
+        if with.heartbeat.endpoints == step.members.own().heartbeat.endpoints {
             return;
         }
         let last = self.synced.get(&with.incarnation);
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -9,6 +9,6 @@
 
 pub use change::Change;
 pub use detector::Detector;
-pub use member::{Figures, Member, Standing};
+pub use member::{Heartbeat, Member, Standing};
 pub use members::Members;
 pub use message::Message;
--- a/crates/core/src/membership/change.rs
+++ b/crates/core/src/membership/change.rs
@@ -13,7 +13,7 @@
     /// A life is held to be gone.
     Gone(Incarnation),
     /// Others held the own life to be gone: what they kept for it may be lost.
-    Returned,
+    Refuted,
     /// A later life of the own entry exists: this one must stop.
     Superseded,
 }
--- a/crates/core/src/membership/detector.rs
+++ b/crates/core/src/membership/detector.rs
@@ -16,7 +16,7 @@
 use crate::clock::Millis;
 use crate::control::action::Action;
 use crate::instance::Instance;
-use crate::membership::{Change, Figures, Member, Members, Message, Standing};
+use crate::membership::{Change, Heartbeat, Member, Members, Message, Standing};
 use crate::message;
 use crate::name;
 use gossip::Gossip;
@@ -28,16 +28,16 @@
 pub const PROBE_PERIOD: Millis = Millis(200);
 /// How long a suspected member has to say that it lives. With two missed
 /// timeouts before it, a killed entry is held to be gone within 2 to 3 s.
-pub const SUSPICION: Millis = Millis(1_500);
+pub const SUSPICION_TIMEOUT: Millis = Millis(1_500);
 /// A longer pause between ticks means that this entry itself did not run: it
 /// must not hold others' silence during it against them.
-const STALL: Millis = Millis(500);
+const STALL_THRESHOLD: Millis = Millis(500);
 /// How long a gone member is remembered: longer than the longest partition that
 /// is planned for, so that both sides find one another after it.
-const GONE_KEPT: Millis = Millis::from_secs(2 * 60 * 60);
+const GONE_RETENTION: Millis = Millis::from_secs(2 * 60 * 60);
 /// The most members that are kept, gone ones included: several times the
 /// largest fleet planned for.
-const MOST_MEMBERS: usize = 2_048;
+const MAX_MEMBERS: usize = 2_048;
 
 /// What one step works with.
 pub struct Step<'a> {
@@ -94,21 +94,21 @@
     }
 
     /// What the own entry says of itself from now on.
-    pub fn set_figures(&mut self, figures: Figures) {
-        self.members.own_mut().figures = figures;
+    pub fn set_heartbeat(&mut self, heartbeat: Heartbeat) {
+        self.members.own_mut().heartbeat = heartbeat;
     }
 
     /// The own entry stops as planned: it takes no new work from now on.
     pub fn leave(&mut self, step: &mut Step<'_>) {
-        self.step_down(Standing::Leaving, step);
+        self.retire(Standing::Leaving, step);
     }
 
     /// The own entry's last word.
     pub fn end(&mut self, step: &mut Step<'_>) {
-        self.step_down(Standing::Gone, step);
+        self.retire(Standing::Gone, step);
     }
 
-    fn step_down(&mut self, standing: Standing, step: &mut Step<'_>) {
+    fn retire(&mut self, standing: Standing, step: &mut Step<'_>) {
         let own = self.members.own_mut();
         if own.standing >= standing {
             return;
@@ -138,39 +138,39 @@
     }
 
     /// Takes in the platform's list: whom to greet.
-    pub fn listed(&mut self, instances: &[Instance], step: &mut Step<'_>) {
+    pub fn update_listed(&mut self, instances: &[Instance], step: &mut Step<'_>) {
         let own = self.members.own().peer;
-        self.greetings.listed(instances, own);
+        self.greetings.update_listed(instances, own);
         if self.members.active_others().next().is_none() {
-            self.greet(greetings::AT_ONCE, step);
+            self.greet(greetings::INITIAL_GREETINGS, step);
         }
     }
 
     /// Time has passed.
     pub fn tick(&mut self, step: &mut Step<'_>) {
-        self.forgive_own_stall(step.now);
+        self.extend_deadlines_after_stall(step.now);
         for expired in self.probes.expired(step.now) {
             match expired {
-                Expired::Direct(number, target) => self.relay(number, target, step),
+                Expired::Direct(number, target) => self.probe_indirectly(number, target, step),
                 Expired::Relayed(target) => self.suspect(target, step),
             }
         }
-        self.bury(step);
+        self.expire_suspects(step);
         if self.probes.due(step.now) {
             self.probe(step);
             self.remind_drained(step);
         }
         if self.greetings.due(step.now) {
             self.greet(1, step);
-            self.forget(step.now);
+            self.purge_gone(step.now);
         }
     }
 
     /// Moves all deadlines by the time in which this entry did not run.
-    fn forgive_own_stall(&mut self, now: Millis) {
+    fn extend_deadlines_after_stall(&mut self, now: Millis) {
         let gap = self.ticked.map_or(Millis::ZERO, |ticked| now - ticked);
         self.ticked = Some(now);
-        if gap <= STALL {
+        if gap <= STALL_THRESHOLD {
             return;
         }
         self.probes.postpone(gap);
@@ -180,7 +180,7 @@
     }
 
     /// Holds suspects whose time has run out to be gone.
-    fn bury(&mut self, step: &mut Step<'_>) {
+    fn expire_suspects(&mut self, step: &mut Step<'_>) {
         let now = step.now;
         let due: Vec<name::Entry> = self
             .suspects
@@ -215,13 +215,16 @@
         match member.standing {
             Standing::Live => {
                 member.standing = Standing::Suspect;
-                self.suspects.insert(name.clone(), step.now + SUSPICION);
+                self.suspects
+                    .insert(name.clone(), step.now + SUSPICION_TIMEOUT);
                 self.announce(&name, step);
             }
             // A suspicion must not hide that it is leaving, so that each entry
             // keeps this one to itself.
             Standing::Leaving => {
-                self.suspects.entry(name).or_insert(step.now + SUSPICION);
+                self.suspects
+                    .entry(name)
+                    .or_insert(step.now + SUSPICION_TIMEOUT);
             }
             Standing::Suspect | Standing::Gone => {}
         }
@@ -230,10 +233,10 @@
     /// Tells drained entries again, until they are seen to leave.
     fn remind_drained(&mut self, step: &mut Step<'_>) {
         let members = &self.members;
-        self.drained.retain(|name, life| {
+        self.drained.retain(|name, incarnation| {
             members
                 .get(name)
-                .is_some_and(|member| member.incarnation == *life && member.active())
+                .is_some_and(|member| member.incarnation == *incarnation && member.active())
         });
         for name in self.drained.keys() {
             if let Some(member) = members.get(name) {
@@ -243,11 +246,13 @@
     }
 
     /// Forgets members that have been gone for long.
-    fn forget(&mut self, now: Millis) {
+    fn purge_gone(&mut self, now: Millis) {
         let old: Vec<name::Entry> = self
             .members
             .others()
-            .filter(|member| member.standing == Standing::Gone && member.heard + GONE_KEPT <= now)
+            .filter(|member| {
+                member.standing == Standing::Gone && member.heard + GONE_RETENTION <= now
+            })
             .map(|member| member.name.clone())
             .collect();
         for name in old {
@@ -265,14 +270,14 @@
                 }
             }
             Message::Answer { number, sender } => {
-                self.answered(number, &sender, step);
+                self.handle_answer(number, &sender, step);
                 self.merge(sender, step);
             }
             Message::Relay {
                 number,
                 target,
                 peer,
-            } => self.relayed(from, number, target, peer, step),
+            } => self.probe_on_behalf(from, number, target, peer, step),
             Message::News(news) => {
                 for member in news {
                     self.merge(member, step);
@@ -290,17 +295,17 @@
                     self.merge(sender, step);
                 }
             }
-            Message::Drain(life) => {
-                if life == self.members.own().incarnation {
+            Message::Drain(incarnation) => {
+                if incarnation == self.members.own().incarnation {
                     self.leave(step);
                 }
             }
         }
-        self.heard(from, step.now);
+        self.update_last_heard(from, step.now);
     }
 
     /// Notes that a member spoke.
-    fn heard(&mut self, from: name::Incarnation, now: Millis) {
+    fn update_last_heard(&mut self, from: name::Incarnation, now: Millis) {
         let name = self
             .members
             .by_incarnation(from)
--- a/crates/core/src/membership/detector/gossip.rs
+++ b/crates/core/src/membership/detector/gossip.rs
@@ -10,18 +10,18 @@
 use crate::name;
 
 /// Pieces of news in one message: with it a probe takes about 300 bytes.
-const WITH_PROBE: usize = 4;
+const MAX_NEWS_PER_PROBE: usize = 4;
 /// Pieces of news in a message that holds nothing else; it fits in a datagram
 /// even with the longest names.
-const IN_TABLE: usize = 4;
+const MAX_NEWS_PER_TABLE_MESSAGE: usize = 4;
 /// Each change is sent this many times the logarithm of the fleet's size, which
 /// reaches every entry with a probability near one.
-const REPEATS: u32 = 3;
+const RETRANSMIT_MULTIPLIER: u32 = 3;
 /// Members that are told at once of a change that this entry found.
-const AT_ONCE: usize = 8;
+const ANNOUNCE_FANOUT: usize = 8;
 /// Members that are told at once of a change that this entry heard of. Passed on
 /// so, a change reaches nearly all of any fleet within a few round trips.
-const ONWARD: usize = 3;
+const FORWARD_FANOUT: usize = 3;
 
 /// Changes that are still to be passed on.
 #[derive(Debug, Default)]
@@ -32,20 +32,20 @@
 
 impl Gossip {
     /// There is news of a member.
-    pub fn put(&mut self, name: &name::Entry) {
+    pub fn enqueue(&mut self, name: &name::Entry) {
         self.sent.insert(name.clone(), 0);
     }
 
     /// The members whose news was sent least, counted as sent once more.
-    fn pick(&mut self, members: usize) -> Vec<name::Entry> {
+    fn next_batch(&mut self, members: usize) -> Vec<name::Entry> {
         let mut names: Vec<(u32, name::Entry)> = self
             .sent
             .iter()
             .map(|(name, sent)| (*sent, name.clone()))
             .collect();
         names.sort();
-        names.truncate(WITH_PROBE);
-        let most = REPEATS * (members + 1).ilog2();
+        names.truncate(MAX_NEWS_PER_PROBE);
+        let most = RETRANSMIT_MULTIPLIER * (members + 1).ilog2();
         for (_, name) in &names {
             if let Some(sent) = self.sent.get_mut(name) {
                 *sent += 1;
@@ -60,15 +60,15 @@
     /// The news of the own entry, with the time.
     pub(super) fn own_news(&mut self, now: Millis) -> Member {
         let own = self.members.own_mut();
-        own.figures.beat = now;
+        own.heartbeat.updated_at = now;
         own.clone()
     }
 
     /// Sends changes and, where there is room, what is known of any other member.
     pub(super) fn send_news(&mut self, to: &Member, step: &mut Step<'_>) {
         let count = self.members.count();
-        let mut names = self.gossip.pick(count);
-        if self.should_hear_of_itself(to) {
+        let mut names = self.gossip.next_batch(count);
+        if self.needs_refutation(to) {
             names.retain(|name| *name != to.name);
             names.insert(0, to.name.clone());
         }
@@ -77,7 +77,7 @@
             .filter_map(|name| self.members.get(name))
             .cloned()
             .collect();
-        let room = WITH_PROBE.saturating_sub(news.len());
+        let room = MAX_NEWS_PER_PROBE.saturating_sub(news.len());
         let others = self.members.others().filter(|member| {
             member.standing != Standing::Gone
                 && member.name != to.name
@@ -95,7 +95,7 @@
     }
 
     /// Whether what is known of a member is not what it says, or should not be.
-    fn should_hear_of_itself(&self, to: &Member) -> bool {
+    fn needs_refutation(&self, to: &Member) -> bool {
         self.members.get(&to.name).is_some_and(|known| {
             known.standing != Standing::Live
                 || known.incarnation != to.incarnation
@@ -106,19 +106,19 @@
     /// Tells some members at once of a change that this entry found, and all by
     /// and by.
     pub(super) fn announce(&mut self, name: &name::Entry, step: &mut Step<'_>) {
-        self.tell(name, AT_ONCE, step);
+        self.disseminate(name, ANNOUNCE_FANOUT, step);
     }
 
     /// Passes on a change that this entry heard of.
-    pub(super) fn pass_on(&mut self, name: &name::Entry, step: &mut Step<'_>) {
-        self.tell(name, ONWARD, step);
+    pub(super) fn forward(&mut self, name: &name::Entry, step: &mut Step<'_>) {
+        self.disseminate(name, FORWARD_FANOUT, step);
     }
 
-    fn tell(&mut self, name: &name::Entry, count: usize, step: &mut Step<'_>) {
+    fn disseminate(&mut self, name: &name::Entry, count: usize, step: &mut Step<'_>) {
         let Some(news) = self.members.get(name).cloned() else {
             return;
         };
-        self.gossip.put(name);
+        self.gossip.enqueue(name);
         let others = self.members.others();
         let others =
             others.filter(|member| member.standing != Standing::Gone && member.name != *name);
@@ -137,7 +137,7 @@
     pub(super) fn send_table(&mut self, to: &Member, step: &mut Step<'_>) {
         self.own_news(step.now);
         let all: Vec<Member> = self.members.iter().cloned().collect();
-        for news in all.chunks(IN_TABLE) {
+        for news in all.chunks(MAX_NEWS_PER_TABLE_MESSAGE) {
             step.send(to, Message::News(news.to_vec()));
         }
     }
--- a/crates/core/src/membership/detector/greetings.rs
+++ b/crates/core/src/membership/detector/greetings.rs
@@ -17,7 +17,7 @@
 /// How often one unknown or gone entry is greeted.
 const PERIOD: Millis = Millis(1_000);
 /// Entries that a new one greets at once: one of them answers, most likely.
-pub const AT_ONCE: usize = 3;
+pub const INITIAL_GREETINGS: usize = 3;
 
 /// Whom the platform lists.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
 
 impl Greetings {
     /// Takes in the platform's list.
-    pub fn listed(&mut self, instances: &[Instance], own: SocketAddr) {
+    pub fn update_listed(&mut self, instances: &[Instance], own: SocketAddr) {
         let entries = instances
             .iter()
             .filter(|instance| instance.role == Role::Entry)
@@ -52,15 +52,18 @@
 impl Detector {
     /// Greets some of those that are listed and not known, or gone.
     pub(super) fn greet(&mut self, count: usize, step: &mut Step<'_>) {
-        let strangers = self.strangers();
-        for peer in strangers.into_values().choose_multiple(step.random, count) {
+        let unknown_or_gone = self.unknown_or_gone();
+        for peer in unknown_or_gone
+            .into_values()
+            .choose_multiple(step.random, count)
+        {
             let greeting = Message::Greeting(self.own_news(step.now));
             let greeting = message::Message::Membership(greeting);
             step.out.push(Action::Send(peer, greeting));
         }
     }
 
-    fn strangers(&self) -> BTreeMap<name::Entry, SocketAddr> {
+    fn unknown_or_gone(&self) -> BTreeMap<name::Entry, SocketAddr> {
         let members = &self.members;
         let gone = members
             .others()
--- a/crates/core/src/membership/detector/merge.rs
+++ b/crates/core/src/membership/detector/merge.rs
@@ -2,33 +2,33 @@
 
 use std::cmp::Ordering;
 
-use crate::membership::detector::{Detector, MOST_MEMBERS, SUSPICION, Step};
+use crate::membership::detector::{Detector, MAX_MEMBERS, SUSPICION_TIMEOUT, Step};
 use crate::membership::{Change, Member, Standing};
 
 impl Detector {
     /// Takes in what is said of a member.
     pub(super) fn merge(&mut self, news: Member, step: &mut Step<'_>) {
         if news.name == self.members.own().name {
-            return self.merge_own(&news, step);
+            return self.refute(&news, step);
         }
         let Some(known) = self.members.get(&news.name) else {
-            return self.meet(news, step);
+            return self.add_unknown(news, step);
         };
         match news.incarnation.cmp(&known.incarnation) {
             // The sender is behind, and will hear of the later life.
-            Ordering::Less => self.gossip.put(&news.name),
+            Ordering::Less => self.gossip.enqueue(&news.name),
             Ordering::Equal => self.update(&news, step),
-            Ordering::Greater => self.succeed(news, step),
+            Ordering::Greater => self.replace_incarnation(news, step),
         }
     }
 
     /// Speaks up against news that the own entry is worse off than it is.
-    fn merge_own(&mut self, news: &Member, step: &mut Step<'_>) {
+    fn refute(&mut self, news: &Member, step: &mut Step<'_>) {
         let own = self.members.own_mut();
         match news.incarnation.cmp(&own.incarnation) {
             Ordering::Less => {
                 let name = own.name.clone();
-                self.gossip.put(&name);
+                self.gossip.enqueue(&name);
             }
             Ordering::Equal => {
                 if (news.version, news.standing) <= (own.version, own.standing) {
@@ -36,7 +36,7 @@
                 }
                 own.version = news.version + 1;
                 if news.standing == Standing::Gone {
-                    step.changes.push(Change::Returned);
+                    step.changes.push(Change::Refuted);
                 }
                 self.announce_own(step);
             }
@@ -51,15 +51,15 @@
 
     /// Takes in a member whose name is new. One that is gone already is of no
     /// interest: keeping it would let news of the dead go round for ever.
-    fn meet(&mut self, news: Member, step: &mut Step<'_>) {
-        if news.standing == Standing::Gone || self.members.count() >= MOST_MEMBERS {
+    fn add_unknown(&mut self, news: Member, step: &mut Step<'_>) {
+        if news.standing == Standing::Gone || self.members.count() >= MAX_MEMBERS {
             return;
         }
         self.join(news, step);
     }
 
     /// Takes in a later life of a known name.
-    fn succeed(&mut self, news: Member, step: &mut Step<'_>) {
+    fn replace_incarnation(&mut self, news: Member, step: &mut Step<'_>) {
         let Some(old) = self.members.get(&news.name) else {
             return;
         };
@@ -69,7 +69,7 @@
         self.suspects.remove(&news.name);
         if news.standing == Standing::Gone {
             let heard = step.now;
-            self.gossip.put(&news.name);
+            self.gossip.enqueue(&news.name);
             self.members.put(Member { heard, ..news });
         } else {
             self.join(news, step);
@@ -83,12 +83,12 @@
         }
         if news.standing == Standing::Suspect {
             self.suspects
-                .insert(news.name.clone(), step.now + SUSPICION);
+                .insert(news.name.clone(), step.now + SUSPICION_TIMEOUT);
         }
         let heard = step.now;
         let name = news.name.clone();
         self.members.put(Member { heard, ..news });
-        self.pass_on(&name, step);
+        self.forward(&name, step);
     }
 
     /// Takes in news of the life that is known.
@@ -96,8 +96,8 @@
         let Some(known) = self.members.get_mut(&news.name) else {
             return;
         };
-        if news.figures.beat > known.figures.beat {
-            known.figures = news.figures;
+        if news.heartbeat.updated_at > known.heartbeat.updated_at {
+            known.heartbeat = news.heartbeat;
             if known.standing != Standing::Gone {
                 known.heard = step.now;
             }
@@ -120,26 +120,32 @@
         if repeated {
             return;
         }
-        self.turn(news, before, standing, step);
+        self.apply_standing(news, before, standing, step);
     }
 
     /// Carries out what follows from a member's new standing.
-    fn turn(&mut self, news: &Member, before: Standing, standing: Standing, step: &mut Step<'_>) {
-        self.pass_on(&news.name, step);
+    fn apply_standing(
+        &mut self,
+        news: &Member,
+        before: Standing,
+        standing: Standing,
+        step: &mut Step<'_>,
+    ) {
+        self.forward(&news.name, step);
         self.suspects.remove(&news.name);
-        let life = news.incarnation;
+        let incarnation = news.incarnation;
         if before == Standing::Gone && standing != Standing::Gone {
-            step.changes.push(Change::Joined(life));
+            step.changes.push(Change::Joined(incarnation));
         }
         match standing {
             Standing::Suspect => {
                 self.suspects
-                    .insert(news.name.clone(), step.now + SUSPICION);
+                    .insert(news.name.clone(), step.now + SUSPICION_TIMEOUT);
             }
             Standing::Leaving if before != Standing::Leaving => {
-                step.changes.push(Change::Leaving(life));
+                step.changes.push(Change::Leaving(incarnation));
             }
-            Standing::Gone => step.changes.push(Change::Gone(life)),
+            Standing::Gone => step.changes.push(Change::Gone(incarnation)),
             Standing::Live | Standing::Leaving => {}
         }
     }
--- a/crates/core/src/membership/detector/probes.rs
+++ b/crates/core/src/membership/detector/probes.rs
@@ -18,10 +18,10 @@
 const RELAYED_TIMEOUT: Millis = Millis(300);
 /// Entries that are asked to try in one's place, so that one bad path is not
 /// taken for a dead entry.
-const RELAYS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 /// Probes that one entry carries out for others at a time; more are refused, so
 /// that no one can make it a source of traffic.
-const MOST_ON_BEHALF: usize = 64;
+const MAX_ON_BEHALF: usize = 64;
 
 /// Why a probe was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,10 +72,10 @@
 
     /// Takes out the probes whose time has run out; direct ones go on as relayed.
     pub fn expired(&mut self, now: Millis) -> Vec<Expired> {
-        let late = |pending: &Pending| pending.deadline <= now;
+        let is_overdue = |pending: &Pending| pending.deadline <= now;
         let mut expired = Vec::new();
         for (number, pending) in &mut self.pending {
-            if !late(pending) {
+            if !is_overdue(pending) {
                 continue;
             }
             match pending.stage {
@@ -88,7 +88,7 @@
                 Stage::OnBehalf(..) => {}
             }
         }
-        self.pending.retain(|_, pending| !late(pending));
+        self.pending.retain(|_, pending| !is_overdue(pending));
         expired
     }
 
@@ -121,7 +121,7 @@
 impl Detector {
     /// Probes the member whose turn it is, and one suspect so that it can speak up.
     pub(super) fn probe(&mut self, step: &mut Step<'_>) {
-        let turn = self.next_turn(step);
+        let turn = self.next_in_round(step);
         let suspect = self
             .members
             .others()
@@ -142,7 +142,7 @@
     }
 
     /// The next member of the round; a round has every member that is not gone.
-    fn next_turn(&mut self, step: &mut Step<'_>) -> Option<Member> {
+    fn next_in_round(&mut self, step: &mut Step<'_>) -> Option<Member> {
         for _ in 0..2 {
             while let Some(name) = self.probes.round.pop() {
                 let member = self.members.get(&name);
@@ -177,7 +177,12 @@
     }
 
     /// Asks others to probe a member that did not answer.
-    pub(super) fn relay(&mut self, number: u64, target: Incarnation, step: &mut Step<'_>) {
+    pub(super) fn probe_indirectly(
+        &mut self,
+        number: u64,
+        target: Incarnation,
+        step: &mut Step<'_>,
+    ) {
         let Some(member) = self.members.by_incarnation(target) else {
             return;
         };
@@ -191,13 +196,13 @@
             .active_others()
             .filter(|other| other.incarnation != target)
             .collect();
-        for other in others.choose_multiple(step.random, RELAYS) {
+        for other in others.choose_multiple(step.random, INDIRECT_PROBES) {
             step.send(other, relay.clone());
         }
     }
 
     /// Probes a member for another entry.
-    pub(super) fn relayed(
+    pub(super) fn probe_on_behalf(
         &mut self,
         from: Incarnation,
         number: u64,
@@ -209,7 +214,7 @@
         let Some(member) = known.filter(|member| member.peer == peer).cloned() else {
             return;
         };
-        if self.probes.on_behalf() >= MOST_ON_BEHALF {
+        if self.probes.on_behalf() >= MAX_ON_BEHALF {
             return;
         }
         let deadline = step.now + RELAYED_TIMEOUT;
@@ -219,17 +224,17 @@
     }
 
     /// Takes in an answer, own or passed on.
-    pub(super) fn answered(&mut self, number: u64, sender: &Member, step: &mut Step<'_>) {
+    pub(super) fn handle_answer(&mut self, number: u64, sender: &Member, step: &mut Step<'_>) {
         let matches = |pending: &&Pending| pending.target == sender.incarnation;
         let Some(pending) = self.probes.pending.get(&number).filter(matches).copied() else {
             return;
         };
         self.probes.pending.remove(&number);
         if let Stage::OnBehalf(from, number) = pending.stage
-            && let Some(asker) = self.members.by_incarnation(from)
+            && let Some(requester) = self.members.by_incarnation(from)
         {
             let sender = sender.clone();
-            step.send(asker, Message::Answer { number, sender });
+            step.send(requester, Message::Answer { number, sender });
         }
         let leaving = |member: &Member| member.standing == Standing::Leaving;
         if self.members.get(&sender.name).is_some_and(leaving) {
--- a/crates/core/src/membership/home.rs
+++ b/crates/core/src/membership/home.rs
@@ -8,10 +8,11 @@
     /// active one if there is none. Entries that see the same members agree;
     /// when one goes, only its own pools move.
     pub fn home(&self, pool: &name::Pool) -> Option<&Member> {
-        let near = self
+        let in_data_centre = self
             .active()
             .filter(|member| member.data_centre == pool.data_centre);
-        near.max_by_key(|member| score(member, pool))
+        in_data_centre
+            .max_by_key(|member| score(member, pool))
             .or_else(|| self.active().max_by_key(|member| score(member, pool)))
     }
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -39,7 +39,7 @@
     /// Orders news of the standing; only the member itself raises it.
     pub version: u32,
     /// What it says of itself.
-    pub figures: Figures,
+    pub heartbeat: Heartbeat,
     /// When this was last heard of, on the own clock.
     #[serde(skip)]
     pub heard: Millis,
@@ -47,9 +47,9 @@
 
 /// What a member says of itself, time and again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct Heartbeat {
     /// Orders the figures: the member's own clock.
-    pub beat: Millis,
+    pub updated_at: Millis,
     /// The configuration that it has in force; 0 before its first.
     pub revision: u64,
     /// Whether it takes new work.
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -11,7 +11,7 @@
 pub struct Members {
     own: name::Entry,
     by_name: BTreeMap<name::Entry, Member>,
-    lives: BTreeMap<name::Incarnation, name::Entry>,
+    names_by_incarnation: BTreeMap<name::Incarnation, name::Entry>,
 }
 
 impl Members {
@@ -19,7 +19,7 @@
     pub fn new(own: Member) -> Self {
         let name = own.name.clone();
         Self {
-            lives: BTreeMap::from([(own.incarnation, name.clone())]),
+            names_by_incarnation: BTreeMap::from([(own.incarnation, name.clone())]),
             by_name: BTreeMap::from([(name.clone(), own)]),
             own: name,
         }
@@ -56,7 +56,8 @@
 
     /// A member by its life.
     pub fn by_incarnation(&self, incarnation: name::Incarnation) -> Option<&Member> {
-        self.by_name.get(self.lives.get(&incarnation)?)
+        self.by_name
+            .get(self.names_by_incarnation.get(&incarnation)?)
     }
 
     /// The life that takes messages at an address, if it is known and not gone.
@@ -79,11 +80,11 @@
     /// Puts a member in place of what was known of its name.
     pub fn put(&mut self, member: Member) {
         let name = member.name.clone();
-        let life = member.incarnation;
+        let incarnation = member.incarnation;
         if let Some(old) = self.by_name.insert(name.clone(), member) {
-            self.lives.remove(&old.incarnation);
+            self.names_by_incarnation.remove(&old.incarnation);
         }
-        self.lives.insert(life, name);
+        self.names_by_incarnation.insert(incarnation, name);
     }
 
     /// Changes a member in place; its name and life must stay.
@@ -105,7 +106,7 @@
             return;
         }
         if let Some(old) = self.by_name.remove(name) {
-            self.lives.remove(&old.incarnation);
+            self.names_by_incarnation.remove(&old.incarnation);
         }
     }
 }
--- a/crates/core/src/quarantine/message.rs
+++ b/crates/core/src/quarantine/message.rs
@@ -6,12 +6,12 @@
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::Crash;
-use crate::quarantine::KEEP;
-use crate::quarantine::record::{Counted, MOST_CRASHES};
+use crate::quarantine::RETENTION;
+use crate::quarantine::record::{CountedCrash, MAX_CRASHES};
 
 /// What an entry knows of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct CrashHistory {
     /// Which request.
     pub request: Fingerprint,
     /// How often a run that ended well has ended the count of its crashes: what was counted
@@ -20,27 +20,27 @@
     /// Whether a run of it has ended well at all.
     pub is_popular: bool,
     /// Its crashes since.
-    pub crashes: Vec<Heard>,
+    pub crashes: Vec<ReportedCrash>,
 }
 
 /// What the platform keeps of a request that is withheld, for entries that start when all others
 /// are gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredHistory {
     /// What was known of it.
-    pub told: Told,
+    pub told: CrashHistory,
     /// When that was, by the time of day: entries that are gone share no other clock with those
     /// that come. A step of it makes a hold some seconds longer or shorter.
     pub written_unix: Millis,
 }
 
-impl Kept {
+impl StoredHistory {
     /// What is known of it, as of this time of day.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
     /// use woodgap_core::fingerprint::{Fingerprint, Request};
-    /// use woodgap_core::quarantine::{Crash, Kept, Quarantine};
+    /// use woodgap_core::quarantine::{Crash, StoredHistory, Quarantine};
     ///
     /// let request = Request { caller: "", method: "GET", host: "", target: "/", body: b"" };
     /// let request = Fingerprint::of(&request);
@@ -48,23 +48,23 @@
     /// for endpoint in 1..=3 {
     ///     let at = Millis::from_secs(u64::from(endpoint));
     ///     let crash = Crash { endpoint, sent: at, at, pieces: 0 };
-    ///     quarantine.crashed(request, crash, at);
+    ///     quarantine.record_crash(request, crash, at);
     /// }
     /// let now = Millis::from_secs(5);
-    /// let told = quarantine.of_held(request, now).unwrap();
-    /// let kept = Kept { told, written_unix: Millis::from_secs(1_000) };
+    /// let told = quarantine.withheld_history(request, now).unwrap();
+    /// let kept = StoredHistory { told, written_unix: Millis::from_secs(1_000) };
     /// let mut later = Quarantine::default();
-    /// later.told(&[kept.told_at(Millis::from_secs(1_060))], Millis::from_secs(100));
+    /// later.merge_histories(&[kept.history_at(Millis::from_secs(1_060))], Millis::from_secs(100));
     /// assert!(later.hold(request, Millis::from_secs(100)).is_some());
     /// ```
-    pub fn told_at(&self, now_unix: Millis) -> Told {
+    pub fn history_at(&self, now_unix: Millis) -> CrashHistory {
         let since = now_unix - self.written_unix;
         let crashes = self.told.crashes.iter();
-        let crashes = crashes.map(|heard| Heard {
+        let crashes = crashes.map(|heard| ReportedCrash {
             age: heard.age + since,
             ..*heard
         });
-        Told {
+        CrashHistory {
             crashes: crashes.collect(),
             ..self.told.clone()
         }
@@ -73,20 +73,20 @@
     /// Whether it may be what an entry has written: its moments lie within what is remembered.
     pub fn is_sound(&self) -> bool {
         let crashes = &self.told.crashes;
-        let is_recent = |heard: &Heard| heard.age <= KEEP && heard.lasted <= KEEP;
-        crashes.len() <= MOST_CRASHES && crashes.iter().all(is_recent)
+        let is_recent = |heard: &ReportedCrash| heard.age <= RETENTION && heard.lasted <= RETENTION;
+        crashes.len() <= MAX_CRASHES && crashes.iter().all(is_recent)
     }
 
     /// Whether it is forgotten by this time of day.
-    pub fn is_over(&self, now_unix: Millis) -> bool {
-        let told = self.told_at(now_unix);
-        told.crashes.iter().all(|heard| heard.age >= KEEP)
+    pub fn is_expired(&self, now_unix: Millis) -> bool {
+        let told = self.history_at(now_unix);
+        told.crashes.iter().all(|heard| heard.age >= RETENTION)
     }
 }
 
 /// A crash, by how long ago it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct ReportedCrash {
     endpoint: u32,
     /// How long the endpoint had the request.
     lasted: Millis,
@@ -97,10 +97,10 @@
     runs: u32,
 }
 
-impl Heard {
+impl ReportedCrash {
     /// As it is told now.
-    pub fn of(counted: &Counted, now: Millis) -> Self {
-        let Counted { crash, runs } = counted;
+    pub fn of(counted: &CountedCrash, now: Millis) -> Self {
+        let CountedCrash { crash, runs } = counted;
         Self {
             endpoint: crash.endpoint,
             lasted: crash.at - crash.sent,
@@ -111,7 +111,7 @@
     }
 
     /// On the own clock.
-    pub fn counted(&self, now: Millis) -> Counted {
+    pub fn counted(&self, now: Millis) -> CountedCrash {
         let at = now - self.age;
         let crash = Crash {
             endpoint: self.endpoint,
@@ -119,7 +119,7 @@
             at,
             pieces: self.pieces,
         };
-        Counted {
+        CountedCrash {
             crash,
             runs: self.runs,
         }
--- a/crates/core/tests/permits/network.rs
+++ b/crates/core/tests/permits/network.rs
@@ -10,7 +10,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::control::{Ask, Directory, Held, Refusal};
 use woodgap_core::instance::{Instance, Role, State};
-use woodgap_core::membership::{Figures, Member, Members, Standing};
+use woodgap_core::membership::{Heartbeat, Member, Members, Standing};
 use woodgap_core::name::{self, Incarnation};
 use woodgap_core::permit::{self, Agent, Id};
 use woodgap_core::pool::{Limits, Pool};
@@ -154,7 +154,7 @@
         http: peer(node),
         standing: Standing::Live,
         version: 0,
-        figures: Figures::default(),
+        heartbeat: Heartbeat::default(),
         heard: Millis::ZERO,
     }
 }
--- a/crates/core/tests/quarantine/cases.rs
+++ b/crates/core/tests/quarantine/cases.rs
@@ -3,7 +3,9 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
-use woodgap_core::quarantine::{CRASHES, Crash, DOUBTFUL, HOLD, MOST_TRIALS, Quarantine};
+use woodgap_core::quarantine::{
+    CRASH_THRESHOLD, Crash, HOLD_DURATION, MAX_TRIALS, Quarantine, UNCERTAIN_CRASH_THRESHOLD,
+};
 
 use super::{crash, request};
 
@@ -12,13 +14,13 @@
     let mut quarantine = Quarantine::default();
     let one = request("one");
     for crash in crashes {
-        quarantine.crashed(one, *crash, crash.at);
+        quarantine.record_crash(one, *crash, crash.at);
     }
     (quarantine, one)
 }
 
 /// So many crashes in a row, one a second.
-fn row(count: usize) -> Vec<Crash> {
+fn sequential_crashes(count: usize) -> Vec<Crash> {
     let endpoints = 1..=u32::try_from(count).unwrap();
     endpoints
         .map(|it| crash(it, u64::from(it) * 1_000))
@@ -26,16 +28,16 @@
 }
 
 /// Crashes in a row, after so many pieces of the answer.
-fn at_places<const COUNT: usize>(pieces: [u32; COUNT]) -> Vec<Crash> {
-    let crashes = row(COUNT).into_iter().zip(pieces);
+fn at_positions<const COUNT: usize>(pieces: [u32; COUNT]) -> Vec<Crash> {
+    let crashes = sequential_crashes(COUNT).into_iter().zip(pieces);
     crashes
         .map(|(crash, pieces)| Crash { pieces, ..crash })
         .collect()
 }
 
 #[rstest]
-#[case::two(&row(2), false)]
-#[case::three(&row(3), true)]
+#[case::two(&sequential_crashes(2), false)]
+#[case::three(&sequential_crashes(3), true)]
 #[case::all_at_once(&[crash(1, 1_000), crash(2, 1_000), crash(3, 1_001), crash(4, 1_002)], false)]
 #[case::some_ms_apart(&[crash(1, 1_000), crash(2, 1_030), crash(3, 1_060), crash(4, 1_090)], false)]
 #[case::sent_before_the_one_before(
@@ -44,11 +46,11 @@
 )]
 #[case::one_crash_told_three_times(&[crash(1, 1_000), crash(1, 1_200), crash(1, 1_900)], false)]
 #[case::one_endpoint_three_times(&[crash(1, 1_000), crash(1, 4_000), crash(1, 8_000)], true)]
-#[case::in_the_first_pieces(&at_places([4, 2, 6]), true)]
-#[case::at_the_same_place(&at_places([40, 42, 39]), false)]
-#[case::at_the_same_place_five_times(&at_places([40, 42, 39, 40, 41]), true)]
-#[case::anywhere(&at_places([0, 40, 90]), false)]
-#[case::at_the_same_place_in_the_end(&at_places([90, 3, 0, 1]), true)]
+#[case::in_the_first_pieces(&at_positions([4, 2, 6]), true)]
+#[case::at_the_same_place(&at_positions([40, 42, 39]), false)]
+#[case::at_the_same_place_five_times(&at_positions([40, 42, 39, 40, 41]), true)]
+#[case::anywhere(&at_positions([0, 40, 90]), false)]
+#[case::at_the_same_place_in_the_end(&at_positions([90, 3, 0, 1]), true)]
 #[case::at_once_and_then_two(
     &[crash(1, 1_000), crash(2, 1_000), crash(3, 2_000), crash(4, 3_000)], true
 )]
@@ -58,7 +60,10 @@
 ) {
     let (quarantine, one) = after(crashes);
     assert_eq!(quarantine.hold(one, Millis(9_000)).is_some(), is_held);
-    assert_eq!(quarantine.held(Millis(9_000)).count(), usize::from(is_held));
+    assert_eq!(
+        quarantine.withheld(Millis(9_000)).count(),
+        usize::from(is_held)
+    );
 }
 
 /// Many crashes come while one run of the request takes its time: no three in a row are among
@@ -79,15 +84,15 @@
 
 #[test]
 fn a_run_that_ends_well_ends_the_count() {
-    let (mut quarantine, one) = after(&row(2));
-    quarantine.survived(one, Millis(2_500));
-    quarantine.crashed(one, crash(3, 3_000), Millis(3_000));
+    let (mut quarantine, one) = after(&sequential_crashes(2));
+    quarantine.record_success(one, Millis(2_500));
+    quarantine.record_crash(one, crash(3, 3_000), Millis(3_000));
     assert_eq!(quarantine.hold(one, Millis(3_000)), None);
 }
 
 #[rstest]
-#[case::popular(true, DOUBTFUL)]
-#[case::unknown(false, CRASHES)]
+#[case::popular(true, UNCERTAIN_CRASH_THRESHOLD)]
+#[case::unknown(false, CRASH_THRESHOLD)]
 fn a_request_that_ended_well_lately_needs_more_crashes(
     #[case] is_popular: bool,
     #[case] needed: usize,
@@ -95,11 +100,11 @@
     let one = request("one");
     let mut quarantine = Quarantine::default();
     if is_popular {
-        quarantine.survived(one, Millis(500));
+        quarantine.record_success(one, Millis(500));
     }
-    for crash in row(needed) {
+    for crash in sequential_crashes(needed) {
         assert_eq!(quarantine.hold(one, crash.sent), None);
-        quarantine.crashed(one, crash, crash.at);
+        quarantine.record_crash(one, crash, crash.at);
     }
     assert!(quarantine.hold(one, Millis(9_000)).is_some());
 }
@@ -109,13 +114,13 @@
 fn what_only_stood_beside_is_not_withheld() {
     let (one, other) = (request("one"), request("other"));
     let mut quarantine = Quarantine::default();
-    for crash in row(CRASHES) {
-        quarantine.crashed(one, crash, crash.at);
-        quarantine.crashed(other, crash, crash.at);
+    for crash in sequential_crashes(CRASH_THRESHOLD) {
+        quarantine.record_crash(one, crash, crash.at);
+        quarantine.record_crash(other, crash, crash.at);
     }
     let last = crash(9, 5_000);
-    assert_eq!(quarantine.held(last.at).count(), 0);
-    quarantine.crashed(one, last, last.at);
+    assert_eq!(quarantine.withheld(last.at).count(), 0);
+    quarantine.record_crash(one, last, last.at);
     assert!(quarantine.hold(one, last.at).is_some());
     assert_eq!(quarantine.hold(other, last.at), None);
 }
@@ -126,10 +131,10 @@
 fn two_causes_do_not_hide_one_another() {
     let requests = [request("one"), request("other")];
     let mut quarantine = Quarantine::default();
-    for crash in row(DOUBTFUL + CRASHES) {
+    for crash in sequential_crashes(UNCERTAIN_CRASH_THRESHOLD + CRASH_THRESHOLD) {
         for request in requests {
             if quarantine.hold(request, crash.sent).is_none() {
-                quarantine.crashed(request, crash, crash.at);
+                quarantine.record_crash(request, crash, crash.at);
             }
         }
     }
@@ -144,20 +149,20 @@
     let one = request("one");
     let mut told = (Vec::new(), Millis::ZERO);
     let mut withheld = Vec::new();
-    for (at, seen) in row(CRASHES).into_iter().enumerate() {
+    for (at, seen) in sequential_crashes(CRASH_THRESHOLD).into_iter().enumerate() {
         let ahead = Millis(500_000 * (at as u64 + 1));
         let now = seen.at + ahead;
         let mut entry = Quarantine::default();
-        entry.told(&told.0, told.1 + ahead);
+        entry.merge_histories(&told.0, told.1 + ahead);
         let crash = Crash {
             sent: seen.sent + ahead,
             at: now,
             ..seen
         };
-        let change = entry.crashed(one, crash, now);
+        let change = entry.record_crash(one, crash, now);
         assert_eq!(change.is_urgent, at > 0);
         withheld = change.withheld;
-        told = (entry.tell(9, now), seen.at);
+        told = (entry.histories_to_send(9, now), seen.at);
     }
     assert_eq!(withheld, [one]);
 }
@@ -165,49 +170,49 @@
 /// An entry that has not heard of the run that ended well does not bring the crashes back.
 #[test]
 fn old_news_do_not_undo_a_run_that_ended_well() {
-    let (mut first, one) = after(&row(2));
-    let old = first.tell(9, Millis(2_100));
+    let (mut first, one) = after(&sequential_crashes(2));
+    let old = first.histories_to_send(9, Millis(2_100));
     let mut second = Quarantine::default();
-    second.told(&old, Millis(2_100));
-    second.survived(one, Millis(2_200));
-    second.told(&old, Millis(2_300));
-    assert_eq!(second.tell(9, Millis(2_300))[0].crashes, []);
+    second.merge_histories(&old, Millis(2_100));
+    second.record_success(one, Millis(2_200));
+    second.merge_histories(&old, Millis(2_300));
+    assert_eq!(second.histories_to_send(9, Millis(2_300))[0].crashes, []);
     // The other way: the entry with the crashes hears of the run.
-    first.told(&second.tell(9, Millis(2_400)), Millis(2_400));
-    first.crashed(one, crash(3, 3_000), Millis(3_000));
+    first.merge_histories(&second.histories_to_send(9, Millis(2_400)), Millis(2_400));
+    first.record_crash(one, crash(3, 3_000), Millis(3_000));
     assert_eq!(first.hold(one, Millis(3_000)), None);
 }
 
 /// A run that ended well where the crashes were not known yet counts as well.
 #[test]
 fn a_run_that_ended_well_after_crashes_that_are_told_later_ends_the_count() {
-    let (mut first, one) = after(&row(2));
+    let (mut first, one) = after(&sequential_crashes(2));
     let mut second = Quarantine::default();
-    second.survived(one, Millis(2_050));
-    second.told(&first.tell(9, Millis(2_100)), Millis(2_100));
-    assert_eq!(second.tell(9, Millis(2_100))[0].crashes, []);
+    second.record_success(one, Millis(2_050));
+    second.merge_histories(&first.histories_to_send(9, Millis(2_100)), Millis(2_100));
+    assert_eq!(second.histories_to_send(9, Millis(2_100))[0].crashes, []);
 }
 
 /// Of crashes that are told together, those before a run that ended well are void, and the one
 /// after it counts.
 #[test]
 fn a_run_that_ended_well_between_crashes_voids_those_before() {
-    let (mut first, one) = after(&row(CRASHES));
+    let (mut first, one) = after(&sequential_crashes(CRASH_THRESHOLD));
     let mut second = Quarantine::default();
-    second.survived(one, Millis(2_050));
-    second.told(&first.tell(9, Millis(3_100)), Millis(3_100));
+    second.record_success(one, Millis(2_050));
+    second.merge_histories(&first.histories_to_send(9, Millis(3_100)), Millis(3_100));
     assert_eq!(second.hold(one, Millis(3_100)), None);
-    let told = second.tell(9, Millis(3_100));
+    let told = second.histories_to_send(9, Millis(3_100));
     assert_eq!(told[0].crashes.len(), 1);
-    first.told(&told, Millis(3_200));
+    first.merge_histories(&told, Millis(3_200));
     assert_eq!(first.hold(one, Millis(3_200)), None);
 }
 
 #[test]
 fn a_hold_ends_doubles_and_is_the_last_in_the_end() {
-    let (mut quarantine, one) = after(&row(CRASHES));
-    let mut span = HOLD;
-    for endpoint in 10..10 + MOST_TRIALS {
+    let (mut quarantine, one) = after(&sequential_crashes(CRASH_THRESHOLD));
+    let mut span = HOLD_DURATION;
+    for endpoint in 10..10 + MAX_TRIALS {
         let hold = quarantine.hold(one, Millis(9_000)).unwrap();
         assert_eq!(hold.until - hold.since, span);
         assert_eq!(quarantine.hold(one, hold.until), None);
@@ -217,19 +222,19 @@
             at: hold.until + Millis(100),
             pieces: 0,
         };
-        quarantine.crashed(one, trial, trial.at);
+        quarantine.record_crash(one, trial, trial.at);
         assert!(quarantine.hold(one, trial.at).is_some());
         span = Millis(span.0 * 2);
     }
     let hold = quarantine.hold(one, Millis(9_000)).unwrap();
     quarantine.expire(hold.until);
-    assert_eq!(quarantine.tell(9, hold.until), []);
+    assert_eq!(quarantine.histories_to_send(9, hold.until), []);
 }
 
 #[test]
 fn a_trial_that_ends_well_releases() {
-    let (mut quarantine, one) = after(&row(CRASHES));
-    let change = quarantine.survived(one, Millis(700_000));
+    let (mut quarantine, one) = after(&sequential_crashes(CRASH_THRESHOLD));
+    let change = quarantine.record_success(one, Millis(700_000));
     assert_eq!(change.released, [one]);
     assert_eq!(quarantine.hold(one, Millis(9_000)), None);
 }
@@ -238,15 +243,15 @@
 /// nothing that is withheld.
 #[test]
 fn a_flood_pushes_out_nothing_that_is_withheld() {
-    let (mut quarantine, one) = after(&row(CRASHES));
+    let (mut quarantine, one) = after(&sequential_crashes(CRASH_THRESHOLD));
     for number in 0..5_000 {
         let at = Millis(4_000 + number);
         let other = request(&number.to_string());
-        quarantine.crashed(other, crash(50, at.0), at);
-        quarantine.survived(request(&format!("well {number}")), at);
+        quarantine.record_crash(other, crash(50, at.0), at);
+        quarantine.record_success(request(&format!("well {number}")), at);
     }
     assert!(quarantine.hold(one, Millis(10_000)).is_some());
-    let told = quarantine.tell(usize::MAX, Millis(9_000));
+    let told = quarantine.histories_to_send(usize::MAX, Millis(9_000));
     assert_eq!(told.len(), 1_024);
     assert!(told.iter().any(|told| told.request == one));
 }
@@ -254,14 +259,14 @@
 /// News are told with the most crashes first, and all of them in turns.
 #[test]
 fn all_news_are_told_in_turns() {
-    let (mut quarantine, one) = after(&row(2));
+    let (mut quarantine, one) = after(&sequential_crashes(2));
     let others: Vec<_> = (0..6).map(|it| request(&it.to_string())).collect();
     for other in &others {
-        quarantine.crashed(*other, crash(2, 2_000), Millis(2_000));
+        quarantine.record_crash(*other, crash(2, 2_000), Millis(2_000));
     }
     let mut heard = Vec::new();
     for round in 0..3 {
-        let told = quarantine.tell(3, Millis(2_100 + round));
+        let told = quarantine.histories_to_send(3, Millis(2_100 + round));
         assert_eq!(told[0].request, one);
         heard.extend(told.into_iter().skip(1).map(|it| it.request));
     }
@@ -275,8 +280,8 @@
 #[test]
 fn what_is_told_is_short() {
     let bytes = |count: usize| {
-        let (mut quarantine, _) = after(&row(count));
-        let told = quarantine.tell(1, Millis(count as u64 * 1_000 + 500));
+        let (mut quarantine, _) = after(&sequential_crashes(count));
+        let told = quarantine.histories_to_send(1, Millis(count as u64 * 1_000 + 500));
         postcard::to_stdvec(&told[0]).unwrap().len()
     };
     insta::assert_debug_snapshot!((bytes(1), bytes(3)));
--- a/crates/core/tests/quarantine/fleet.rs
+++ b/crates/core/tests/quarantine/fleet.rs
@@ -10,26 +10,26 @@
 use rand::{Rng, SeedableRng};
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
-use woodgap_core::quarantine::{Crash, Quarantine, Told};
+use woodgap_core::quarantine::{Crash, CrashHistory, Quarantine};
 
 use super::request;
 
 /// The time between two steps, and how many there are.
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 const STEPS: u64 = 1_600;
 /// As between entries: how many steps there are between two rounds, which entries begin at
 /// different ones, and whom each one asks.
-const ROUND: usize = 30;
-const ASKED: usize = 6;
+const STEPS_PER_ROUND: usize = 30;
+const GOSSIP_FANOUT: usize = 6;
 /// The time between two pieces of an answer.
-const PIECE: u64 = 30;
+const PIECE_INTERVAL_MS: u64 = 30;
 /// So long after its third crash a request may reach this many endpoints more.
-const BOUND: u64 = 3_000;
-const MOST_LATE: usize = 3;
+const DETECTION_BOUND_MS: u64 = 3_000;
+const MAX_LATE_ARRIVALS: usize = 3;
 
 /// What happens in a fleet.
 #[derive(Clone, Copy, Debug)]
-struct World {
+struct Scenario {
     entries: usize,
     endpoints: usize,
     /// How long an endpoint is gone after a crash.
@@ -63,8 +63,8 @@
     runs: Vec<Run>,
 }
 
-struct Sim {
-    world: World,
+struct Simulation {
+    scenario: Scenario,
     random: StdRng,
     now: u64,
     entries: Vec<Quarantine>,
@@ -75,7 +75,7 @@
     arrivals: Vec<u64>,
     crashes: Vec<u64>,
     /// Other requests that were withheld.
-    blamed: usize,
+    wrongly_withheld: usize,
     served: usize,
     asked: usize,
     urgent: Vec<usize>,
@@ -83,19 +83,23 @@
     again: Vec<Fingerprint>,
 }
 
-impl Sim {
-    fn new(world: World, seed: u64) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
         Self {
-            world,
+            scenario,
             random: StdRng::seed_from_u64(seed),
             now: 0,
-            entries: (0..world.entries).map(|_| Quarantine::default()).collect(),
-            endpoints: (0..world.endpoints).map(|_| Endpoint::default()).collect(),
+            entries: (0..scenario.entries)
+                .map(|_| Quarantine::default())
+                .collect(),
+            endpoints: (0..scenario.endpoints)
+                .map(|_| Endpoint::default())
+                .collect(),
             fatal: request("fatal"),
             popular: request("popular"),
             arrivals: Vec::new(),
             crashes: Vec::new(),
-            blamed: 0,
+            wrongly_withheld: 0,
             served: 0,
             asked: 0,
             urgent: Vec::new(),
@@ -103,37 +107,37 @@
         }
     }
 
-    fn play(world: World, seed: u64) -> Self {
-        let mut sim = Self::new(world, seed);
+    fn run(scenario: Scenario, seed: u64) -> Self {
+        let mut sim = Self::new(scenario, seed);
         for step in 1..=STEPS {
-            sim.now = 1_000 + step * STEP;
+            sim.now = 1_000 + step * STEP_MS;
             sim.step();
         }
         sim
     }
 
     fn step(&mut self) {
-        if self.is_due(self.world.pause) {
+        if self.is_due(self.scenario.pause) {
             self.send(self.fatal);
         }
         // One popular request, and one that is sent twice, like a caller that comes back.
         self.send(self.popular);
-        let number = self.now / STEP / 2;
+        let number = self.now / STEP_MS / 2;
         self.send(request(&format!("seldom {number}")));
         for request in std::mem::take(&mut self.again) {
             self.send(request);
         }
         self.end_runs();
-        if self.is_due(self.world.by_itself) {
-            for _ in 0..self.world.together {
-                self.crash_any();
+        if self.is_due(self.scenario.by_itself) {
+            for _ in 0..self.scenario.together {
+                self.crash_random_endpoint();
             }
         }
-        self.talk();
+        self.gossip();
     }
 
     fn is_due(&self, period: Option<u64>) -> bool {
-        period.is_some_and(|period| (self.now / STEP).is_multiple_of(period / STEP))
+        period.is_some_and(|period| (self.now / STEP_MS).is_multiple_of(period / STEP_MS))
     }
 
     fn send(&mut self, request: Fingerprint) {
@@ -142,7 +146,7 @@
         let is_fatal = request == self.fatal;
         self.asked += usize::from(!is_fatal);
         if self.entries[entry].hold(request, now).is_some() {
-            self.blamed += usize::from(!is_fatal);
+            self.wrongly_withheld += usize::from(!is_fatal);
             return;
         }
         let now = self.now;
@@ -154,9 +158,9 @@
             self.arrivals.push(self.now);
         }
         let run = if is_fatal {
-            self.world.before
+            self.scenario.before
         } else {
-            self.world.run
+            self.scenario.run
         };
         endpoint.runs.push(Run {
             request,
@@ -181,12 +185,12 @@
             let ended: Vec<_> = runs.extract_if(.., |run| run.ends <= now).collect();
             for run in ended {
                 self.served += 1;
-                self.entries[run.entry].survived(run.request, Millis(now));
+                self.entries[run.entry].record_success(run.request, Millis(now));
             }
         }
     }
 
-    fn crash_any(&mut self) {
+    fn crash_random_endpoint(&mut self) {
         let now = self.now;
         let all = self.endpoints.iter().enumerate();
         let living = all.filter(|(_, it)| it.back <= now).map(|(at, _)| at);
@@ -199,7 +203,7 @@
         let endpoint = &mut self.endpoints[at];
         let life = endpoint.life * 1_000 + u32::try_from(at).unwrap();
         endpoint.life += 1;
-        endpoint.back = self.now + self.world.down;
+        endpoint.back = self.now + self.scenario.down;
         let now = Millis(self.now);
         for run in std::mem::take(&mut endpoint.runs) {
             let crash = Crash {
@@ -209,40 +213,43 @@
                 pieces: if run.request == self.fatal {
                     0
                 } else {
-                    u32::try_from((now.0 - run.sent) / PIECE).unwrap()
+                    u32::try_from((now.0 - run.sent) / PIECE_INTERVAL_MS).unwrap()
                 },
             };
-            let change = self.entries[run.entry].crashed(run.request, crash, now);
+            let change = self.entries[run.entry].record_crash(run.request, crash, now);
             if change.is_urgent {
                 self.urgent.push(run.entry);
             }
-            if self.world.resends && run.request != self.fatal {
+            if self.scenario.resends && run.request != self.fatal {
                 self.again.push(run.request);
             }
         }
     }
 
     /// Rounds of messages, in turns and at once where there is something urgent.
-    fn talk(&mut self) {
+    fn gossip(&mut self) {
         let count = self.entries.len();
-        let step = usize::try_from(self.now / STEP).unwrap();
-        let in_turn = (0..count).filter(|entry| entry % ROUND == step % ROUND);
+        let step = usize::try_from(self.now / STEP_MS).unwrap();
+        let in_turn = (0..count).filter(|entry| entry % STEPS_PER_ROUND == step % STEPS_PER_ROUND);
         let mut due: BTreeSet<usize> = in_turn.collect();
         due.extend(std::mem::take(&mut self.urgent));
         for entry in due {
             let others = (0..count).filter(|it| *it != entry);
-            let asked = others.choose_multiple(&mut self.random, ASKED);
+            let asked = others.choose_multiple(&mut self.random, GOSSIP_FANOUT);
             for other in asked {
-                let told = self.entries[entry].tell(12, Millis(self.now));
-                self.hear(other, &told);
-                let told = self.entries[other].tell(12, Millis(self.now));
-                self.hear(entry, &told);
+                let told = self.entries[entry].histories_to_send(12, Millis(self.now));
+                self.receive(other, &told);
+                let told = self.entries[other].histories_to_send(12, Millis(self.now));
+                self.receive(entry, &told);
             }
         }
     }
 
-    fn hear(&mut self, entry: usize, told: &[Told]) {
-        if self.entries[entry].told(told, Millis(self.now)).is_urgent {
+    fn receive(&mut self, entry: usize, told: &[CrashHistory]) {
+        if self.entries[entry]
+            .merge_histories(told, Millis(self.now))
+            .is_urgent
+        {
             self.urgent.push(entry);
         }
     }
@@ -253,14 +260,14 @@
         };
         self.arrivals
             .iter()
-            .filter(|at| **at > third + BOUND)
+            .filter(|at| **at > third + DETECTION_BOUND_MS)
             .count()
     }
 }
 
 /// Nobody sends anything that crashes endpoints; they crash by themselves.
-fn by_itself(entries: usize, endpoints: usize, period: u64, together: usize) -> World {
-    World {
+fn by_itself(entries: usize, endpoints: usize, period: u64, together: usize) -> Scenario {
+    Scenario {
         entries,
         endpoints,
         down: 800,
@@ -273,8 +280,8 @@
     }
 }
 
-fn fatal(entries: usize, endpoints: usize, pause: u64, before: u64) -> World {
-    World {
+fn fatal(entries: usize, endpoints: usize, pause: u64, before: u64) -> Scenario {
+    Scenario {
         entries,
         endpoints,
         down: 3_000,
@@ -287,14 +294,14 @@
     }
 }
 
-fn worlds() -> impl Strategy<Value = World> {
+fn scenarios() -> impl Strategy<Value = Scenario> {
     let sizes = prop_oneof![Just((2, 9)), Just((6, 9)), Just((30, 40)), Just((90, 120))];
-    let pause = (5_u64..100).prop_map(|it| it * STEP);
-    let before = (1_u64..60).prop_map(|it| it * STEP);
+    let pause = (5_u64..100).prop_map(|it| it * STEP_MS);
+    let before = (1_u64..60).prop_map(|it| it * STEP_MS);
     let by_itself = prop_oneof![Just(None), Just(Some(350)), Just(Some(1_000))];
-    let run = (1_u64..60).prop_map(|it| it * STEP);
+    let run = (1_u64..60).prop_map(|it| it * STEP_MS);
     (sizes, pause, before, by_itself, 1_usize..4, run).prop_map(
-        |((entries, endpoints), pause, before, by_itself, together, run)| World {
+        |((entries, endpoints), pause, before, by_itself, together, run)| Scenario {
             by_itself: by_itself.map(|period: u64| period * together as u64),
             together,
             run,
@@ -327,24 +334,24 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_request_that_crashes_endpoints_reaches_few_more(world in worlds(), seed: u64) {
-        let sim = Sim::play(world, seed);
-        prop_assert!(sim.late() <= MOST_LATE, "{} late of {}", sim.late(), sim.arrivals.len());
-        prop_assert_eq!(sim.blamed, 0);
+    fn a_request_that_crashes_endpoints_reaches_few_more(scenario in scenarios(), seed: u64) {
+        let sim = Simulation::run(scenario, seed);
+        prop_assert!(sim.late() <= MAX_LATE_ARRIVALS, "{} late of {}", sim.late(), sim.arrivals.len());
+        prop_assert_eq!(sim.wrongly_withheld, 0);
     }
 
     #[test]
     fn crashes_by_themselves_are_put_down_to_no_request(
-        world in worlds(), period in 7_u64..20, seed: u64
+        scenario in scenarios(), period in 7_u64..20, seed: u64
     ) {
-        let world = World {
+        let scenario = Scenario {
             pause: None,
             down: 800,
-            by_itself: Some(period * 50 * world.together as u64),
-            ..world
+            by_itself: Some(period * 50 * scenario.together as u64),
+            ..scenario
         };
-        let sim = Sim::play(world, seed);
-        prop_assert_eq!(sim.blamed, 0);
+        let sim = Simulation::run(scenario, seed);
+        prop_assert_eq!(sim.wrongly_withheld, 0);
     }
 }
 
@@ -353,13 +360,13 @@
 #[test]
 fn long_streams_that_crashes_cut_off_are_put_down_to_no_request() {
     for seed in 0..6 {
-        let world = World {
+        let scenario = Scenario {
             run: 3_000,
             resends: true,
             ..by_itself(6, 9, 1_000, 1)
         };
-        let sim = Sim::play(world, seed);
-        assert_eq!(sim.blamed, 0, "seed {seed}");
+        let sim = Simulation::run(scenario, seed);
+        assert_eq!(sim.wrongly_withheld, 0, "seed {seed}");
     }
 }
 
@@ -370,25 +377,25 @@
     let sizes = [(2, 2), (6, 9), (90, 120), (295, 400)];
     for (entries, endpoints) in sizes {
         for pause in [100, 400] {
-            let sim = Sim::play(fatal(entries, endpoints, pause, 300), 1);
+            let sim = Simulation::run(fatal(entries, endpoints, pause, 300), 1);
             lines.push(line(
                 &format!("{entries}:{endpoints} each {pause} ms"),
                 &sim,
             ));
         }
-        let sim = Sim::play(by_itself(entries, endpoints, 350, 1), 1);
+        let sim = Simulation::run(by_itself(entries, endpoints, 350, 1), 1);
         lines.push(line(&format!("{entries}:{endpoints} by itself"), &sim));
     }
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-fn line(world: &str, sim: &Sim) -> String {
+fn line(scenario: &str, sim: &Simulation) -> String {
     format!(
-        "{world}: {} crashes by the request, {} arrivals, {} late, {} others withheld, {:.3} served",
+        "{scenario}: {} crashes by the request, {} arrivals, {} late, {} others withheld, {:.3} served",
         sim.crashes.len(),
         sim.arrivals.len(),
         sim.late(),
-        sim.blamed,
+        sim.wrongly_withheld,
         sim.served as f64 / sim.asked as f64,
     )
 }
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -46,7 +46,7 @@
         let catalog = shared.in_force.confirmed(now);
         catalog.map_or(0, |catalog| catalog.revision())
     } else {
-        member.figures.revision
+        member.heartbeat.revision
     };
     Entry {
         name: member.name.clone(),
@@ -67,7 +67,7 @@
         Standing::Gone => EntryState::Gone,
         Standing::Leaving => EntryState::Leaving,
         Standing::Suspect => EntryState::Suspect,
-        Standing::Live if member.figures.ready => EntryState::Live,
+        Standing::Live if member.heartbeat.ready => EntryState::Live,
         Standing::Live => EntryState::NotReady,
     }
 }
--- a/crates/entry/src/caller/entries.rs
+++ b/crates/entry/src/caller/entries.rs
@@ -61,7 +61,7 @@
 fn preferred(shared: &Shared, data_centre: Option<&str>) -> Vec<Member> {
     let near = data_centre.unwrap_or(shared.settings.data_centre.as_str());
     let members = shared.members.load();
-    let takes_work = |member: &&Member| member.active() && member.figures.ready;
+    let takes_work = |member: &&Member| member.active() && member.heartbeat.ready;
     let mut entries: Vec<Member> = members.iter().filter(takes_work).cloned().collect();
     entries.shuffle(&mut rand::rng());
     entries.sort_by_key(|member| {
@@ -73,7 +73,7 @@
 }
 
 fn load(member: &Member) -> u32 {
-    (member.figures.running / EQUAL_LOAD)
+    (member.heartbeat.running / EQUAL_LOAD)
         .checked_ilog2()
         .map_or(0, |load| load + 1)
 }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use woodgap_core::clock::Millis;
 use woodgap_core::control::{Machine, Policy, Start};
-use woodgap_core::membership::{Figures, Member, Standing};
+use woodgap_core::membership::{Heartbeat, Member, Standing};
 use woodgap_core::name;
 use woodgap_core::pool::Limits;
 use woodgap_platform::clock::Clock;
@@ -221,7 +221,7 @@
         http: shared.once.address,
         standing: Standing::Live,
         version: 0,
-        figures: Figures::default(),
+        heartbeat: Heartbeat::default(),
         heard: Millis::ZERO,
     }
 }
--- a/crates/entry/tests/permits.rs
+++ b/crates/entry/tests/permits.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use woodgap_core::clock::Millis;
-use woodgap_core::membership::{Figures, Member, Members, Standing};
+use woodgap_core::membership::{Heartbeat, Member, Members, Standing};
 use woodgap_core::name::{Incarnation, Pool};
 use woodgap_harness::{Entry, Fleet, STUCK, documents, until};
 
@@ -37,7 +37,7 @@
         http: nowhere,
         standing: Standing::Live,
         version: 0,
-        figures: Figures::default(),
+        heartbeat: Heartbeat::default(),
         heard: Millis::ZERO,
     }
 }
--- a/crates/entry/tests/stream.rs
+++ b/crates/entry/tests/stream.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use tokio::io::AsyncWriteExt;
-use woodgap_core::membership::{Figures, Member, Message, Standing};
+use woodgap_core::membership::{Heartbeat, Member, Message, Standing};
 use woodgap_core::name::Incarnation;
 use woodgap_core::{clock::Millis, message};
 use woodgap_entry::control::socket::Bound;
@@ -34,7 +34,7 @@
         http: address,
         standing: Standing::Live,
         version: 0,
-        figures: Figures::default(),
+        heartbeat: Heartbeat::default(),
         heard: Millis::ZERO,
     };
     message::Message::Membership(Message::News((0..1_000).map(member).collect()))
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -182,7 +182,11 @@
             rests: self.state.rests.borrow().tell(now),
             ..self.bare(number, is_answer)
         };
-        let suspects = self.state.quarantine.borrow_mut().tell(MOST_SUSPECTS, now);
+        let suspects = self
+            .state
+            .quarantine
+            .borrow_mut()
+            .histories_to_send(MOST_SUSPECTS, now);
         if let Err(error) = message::accuse(&mut message, suspects) {
             log::debug!(error = error.to_string(); "a request can't be told of");
         }
--- a/crates/relay/src/gossip/message.rs
+++ b/crates/relay/src/gossip/message.rs
@@ -50,7 +50,7 @@
     /// How long connections to endpoints may rest, as the sender has found out.
     pub rests: Vec<rest::Told>,
     /// Requests that endpoints crashed with.
-    pub suspects: Vec<quarantine::Told>,
+    pub suspects: Vec<quarantine::CrashHistory>,
     /// The sender's time of day, in ms since the Unix epoch.
     pub unix: Millis,
     /// Who has the duties, as far as the sender knows.
@@ -148,7 +148,7 @@
 /// If a field can't be written.
 pub fn accuse(
     message: &mut Message,
-    mut suspects: Vec<quarantine::Told>,
+    mut suspects: Vec<quarantine::CrashHistory>,
 ) -> Result<(), postcard::Error> {
     let count = fitting(message, &suspects)?;
     suspects.truncate(count);
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
-use woodgap_core::quarantine::{Kept, Told};
+use woodgap_core::quarantine::{CrashHistory, StoredHistory};
 
 use crate::follow::usable;
 use crate::source::row::Faults;
@@ -52,12 +52,12 @@
 
 /// Takes in what is kept, and drops what is long over. A few entries do so, which tell the others.
 async fn read(state: &State, faults: &mut Faults) -> Result<(), Error> {
-    let rows: Vec<row::Row<Kept>> = state.source.kept().await?;
+    let rows: Vec<row::Row<StoredHistory>> = state.source.kept().await?;
     faults.replace(&rows, &state.metrics);
     let now = state.clock.unix();
     let kept = rows.into_iter().filter_map(usable);
-    let (over, kept): (Vec<_>, Vec<_>) = kept.partition(|kept| kept.is_over(now));
-    let told: Vec<Told> = kept.iter().map(|kept| kept.told_at(now)).collect();
+    let (over, kept): (Vec<_>, Vec<_>) = kept.partition(|kept| kept.is_expired(now));
+    let told: Vec<CrashHistory> = kept.iter().map(|kept| kept.history_at(now)).collect();
     state.told_of_crashes(&told);
     state.has_read_withheld.set(true);
     for kept in over {
@@ -82,10 +82,16 @@
 }
 
 async fn write_one(state: &State, request: Fingerprint) -> Result<(), Error> {
-    let told = state.quarantine.borrow().of_held(request, state.now());
+    let told = state
+        .quarantine
+        .borrow()
+        .withheld_history(request, state.now());
     let Some(told) = told else {
         return state.source.forget(request).await;
     };
     let written_unix = state.clock.unix();
-    state.source.keep(&Kept { told, written_unix }).await
+    state
+        .source
+        .keep(&StoredHistory { told, written_unix })
+        .await
 }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -14,7 +14,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
-use woodgap_core::quarantine::Kept;
+use woodgap_core::quarantine::StoredHistory;
 use woodgap_core::relay::Plan;
 use woodgap_core::relay::evacuation::{self, Evacuation};
 use woodgap_core::relay::roster::Endpoint;
@@ -108,13 +108,13 @@
     fn entries(&self) -> Answer<'_, Addresses>;
 
     /// Keeps what is known of a request that is withheld.
-    fn keep<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()>;
+    fn keep<'a>(&'a self, kept: &'a StoredHistory) -> Answer<'a, ()>;
 
     /// Takes that back.
     fn forget(&self, request: Fingerprint) -> Answer<'_, ()>;
 
     /// What all entries keep of requests that are withheld.
-    fn kept(&self) -> Answer<'_, Vec<Row<Kept>>>;
+    fn kept(&self) -> Answer<'_, Vec<Row<StoredHistory>>>;
 }
 
 /// An answer to come.
--- a/crates/relay/src/source/own.rs
+++ b/crates/relay/src/source/own.rs
@@ -16,7 +16,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
-use woodgap_core::quarantine::Kept;
+use woodgap_core::quarantine::StoredHistory;
 use woodgap_core::relay::Evacuation;
 use woodgap_platform::Error as PlatformError;
 use woodgap_platform::http::Platform;
@@ -193,7 +193,7 @@
         self.read_entries().boxed_local()
     }
 
-    fn keep<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()> {
+    fn keep<'a>(&'a self, kept: &'a StoredHistory) -> Answer<'a, ()> {
         async move {
             let value = serde_json::to_value(kept);
             let value = value.map_err(|error| Error::NotUnderstood(error.to_string()))?;
@@ -208,7 +208,7 @@
         self.write(place, None).boxed_local()
     }
 
-    fn kept(&self) -> Answer<'_, Vec<source::Row<Kept>>> {
+    fn kept(&self) -> Answer<'_, Vec<source::Row<StoredHistory>>> {
         self.rows(WITHHELD).boxed_local()
     }
 }
--- a/crates/relay/src/source/row.rs
+++ b/crates/relay/src/source/row.rs
@@ -7,7 +7,7 @@
 use actix_http::header::HeaderValue;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
-use woodgap_core::quarantine::Kept;
+use woodgap_core::quarantine::StoredHistory;
 use woodgap_core::relay::Plan;
 use woodgap_core::relay::roster::Endpoint;
 
@@ -114,7 +114,7 @@
     }
 }
 
-impl Check for Kept {
+impl Check for StoredHistory {
     const MOST_BYTES: usize = MOST_BYTES;
 
     fn check(&self, key: &str) -> Result<(), Unusable> {
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -8,7 +8,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
-use woodgap_core::quarantine::{Change, Crash, Quarantine, Told};
+use woodgap_core::quarantine::{Change, Crash, CrashHistory, Quarantine};
 use woodgap_core::relay::budget::{Bound, Budget};
 use woodgap_core::relay::claim::Claim;
 use woodgap_core::relay::duty::{self, Duty, Knows, Standing, Subject};
@@ -414,7 +414,10 @@
     /// Takes in that an endpoint crashed while it had the request.
     pub fn crashed(&self, request: Fingerprint, crash: Crash) {
         let now = self.now();
-        let change = self.quarantine.borrow_mut().crashed(request, crash, now);
+        let change = self
+            .quarantine
+            .borrow_mut()
+            .record_crash(request, crash, now);
         self.quarantine_changed(&change);
         // Who sees a crash writes it down: not all entries, as they hear of it.
         if self.quarantine.borrow().hold(request, now).is_some() {
@@ -425,7 +428,7 @@
     /// Takes in that a request has ended, and its endpoint goes on.
     pub fn survived(&self, request: Fingerprint) {
         let now = self.now();
-        let change = self.quarantine.borrow_mut().survived(request, now);
+        let change = self.quarantine.borrow_mut().record_success(request, now);
         self.quarantine_changed(&change);
         if change.released.contains(&request) {
             self.rewrite(request);
@@ -439,9 +442,9 @@
     }
 
     /// Takes in what another entry tells of requests that crash endpoints.
-    pub fn told_of_crashes(&self, told: &[Told]) {
+    pub fn told_of_crashes(&self, told: &[CrashHistory]) {
         let now = self.now();
-        let change = self.quarantine.borrow_mut().told(told, now);
+        let change = self.quarantine.borrow_mut().merge_histories(told, now);
         self.quarantine_changed(&change);
     }
 
--- a/crates/relay/src/upkeep.rs
+++ b/crates/relay/src/upkeep.rs
@@ -108,7 +108,7 @@
     let entries = state.fleet.borrow().live(now).count();
     metrics.entries.set(gauge(entries as u64));
     metrics.running.set(gauge(state.running.get() as u64));
-    let quarantined = state.quarantine.borrow().held(now).count();
+    let quarantined = state.quarantine.borrow().withheld(now).count();
     metrics.quarantined.set(gauge(quarantined as u64));
     let dropped = logs::take_dropped();
     if dropped > 0 {
--- a/crates/relay/tests/contract/crashes.rs
+++ b/crates/relay/tests/contract/crashes.rs
@@ -14,7 +14,7 @@
 
 use rstest::rstest;
 use woodgap_core::fingerprint::Fingerprint;
-use woodgap_core::quarantine::Kept;
+use woodgap_core::quarantine::StoredHistory;
 
 use crate::caller::{get, post};
 use crate::crashing::{Arrivals, Crashing, DOWN, Down, FATAL};
@@ -37,7 +37,7 @@
     arrivals: Arrivals,
     sites: Vec<Site>,
     /// What the platform keeps.
-    kept: Arc<Mutex<BTreeMap<Fingerprint, Kept>>>,
+    kept: Arc<Mutex<BTreeMap<Fingerprint, StoredHistory>>>,
 }
 
 impl Fleet {
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -194,10 +194,10 @@
                 at,
                 pieces: u32::MAX,
             };
-            quarantine.crashed(Fingerprint::of(&request), crash, at);
+            quarantine.record_crash(Fingerprint::of(&request), crash, at);
         }
     }
-    let suspects = quarantine.tell(MOST_SUSPECTS, Millis(4_000));
+    let suspects = quarantine.histories_to_send(MOST_SUSPECTS, Millis(4_000));
     message::accuse(&mut message, suspects).unwrap();
     let bytes = message::encode(&message).unwrap();
     assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
--- a/crates/relay/tests/contract/site.rs
+++ b/crates/relay/tests/contract/site.rs
@@ -14,7 +14,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
-use woodgap_core::quarantine::Kept;
+use woodgap_core::quarantine::StoredHistory;
 use woodgap_core::relay::Evacuation;
 use woodgap_core::relay::plan::{Engine, Kind, Limits, Plan, Route, Service, Share, Workspace};
 use woodgap_core::relay::roster;
@@ -54,7 +54,7 @@
     /// What is done and never answered.
     pub unanswered: Option<Unanswered>,
     /// What entries keep of requests that are withheld; several sites may share it.
-    pub kept: Arc<Mutex<BTreeMap<Fingerprint, Kept>>>,
+    pub kept: Arc<Mutex<BTreeMap<Fingerprint, StoredHistory>>>,
 }
 
 /// A source that tells what the test says.
@@ -134,7 +134,7 @@
         async { Ok(()) }.boxed_local()
     }
 
-    fn keep<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()> {
+    fn keep<'a>(&'a self, kept: &'a StoredHistory) -> Answer<'a, ()> {
         async move {
             let shared = self.told()?.kept;
             let mut shared = shared.lock().unwrap();
@@ -152,7 +152,7 @@
         .boxed_local()
     }
 
-    fn kept(&self) -> Answer<'_, Vec<Row<Kept>>> {
+    fn kept(&self) -> Answer<'_, Vec<Row<StoredHistory>>> {
         async move {
             let shared = self.told()?.kept;
             let shared = shared.lock().unwrap();
--- a/crates/wire/tests/fleet/network.rs
+++ b/crates/wire/tests/fleet/network.rs
@@ -9,7 +9,7 @@
 use woodgap_core::control::machine::TICK;
 use woodgap_core::control::{Action, Event, Machine, Own, Policy, Start};
 use woodgap_core::instance::{Instance, Load, Role, State};
-use woodgap_core::membership::{Figures, Member, Standing};
+use woodgap_core::membership::{Heartbeat, Member, Standing};
 use woodgap_core::message::Message;
 use woodgap_core::name::{self, Incarnation};
 use woodgap_core::pool::Limits;
@@ -101,7 +101,7 @@
         http: SocketAddr::from((address(node).ip(), 8080)),
         standing: Standing::Live,
         version: 0,
-        figures: Figures::default(),
+        heartbeat: Heartbeat::default(),
         heard: Millis::ZERO,
     }
 }
