--- a/crates/core/benches/fingerprint.rs
+++ b/crates/core/benches/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a fingerprint costs, by the length of the body.
+//! Measures the time to compute a fingerprint, by body length.
 
 use divan::{Bencher, black_box};
 use woodgap_core::fingerprint::{Fingerprint, Request};
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,41 +1,44 @@
-//! What tells that two requests are the same, whatever identities they carry.
+//! Fingerprints that identify repeated requests independently of their identities.
 //!
-//! A caller that sends a request again gives it a new identity. Who calls, what for, and the
-//! body stay as they were; a hash of these is short enough to be remembered, logged and told to
-//! other entries, and does not give the body away.
+//! A caller that resends a request gives it a new identity, but the workspace, the method, the
+//! target and the body stay the same. A hash of these is short enough to be remembered, logged
+//! and sent to other entries, and does not reveal the body.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Keeps the hashes apart from the other uses of the same function.
+/// Key derivation context that separates these hashes from other uses of the same hash
+/// function.
 const CONTEXT: &str = "woodgap 2026-12 fingerprints of requests";
-/// Length in bytes: no two of any number of requests that a fleet sees share one.
+/// Length of a fingerprint in bytes. Collisions are negligible for the number of requests that
+/// a fleet handles.
 const LENGTH: usize = 16;
 
-/// What makes a request the one that it is.
+/// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The workspace of its caller; empty where the route is public.
+    /// The workspace of the caller; empty if the route is public.
     pub caller: &'a str,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it names.
+    /// The requested host.
     pub host: &'a str,
-    /// Path and query.
+    /// The path and query.
     pub target: &'a str,
-    /// Its whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// A hash of a request, the same in all entries and under all its identities.
+/// A hash of a request that is the same at all entries and for all identities of the request.
 ///
-/// It is keyed by the caller, so that nobody's requests stand for those of another workspace.
+/// It is keyed by the caller, so that requests of different workspaces never share a
+/// fingerprint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; LENGTH]);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     ///
     /// ```
     /// use woodgap_core::fingerprint::{Fingerprint, Request};
@@ -55,7 +58,7 @@
         let key = blake3::derive_key(CONTEXT, request.caller.as_bytes());
         let mut hasher = blake3::Hasher::new_keyed(&key);
         for part in [request.method, request.host, request.target] {
-            // The length keeps the end of one part from being the beginning of the next.
+            // The length prefix makes the boundaries between the parts unambiguous.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which entries are alive, as one entry sees it.
+//! Cluster membership and failure detection, as seen by one entry.
 
 pub mod change;
 pub mod detector;
--- a/crates/core/src/membership/change.rs
+++ b/crates/core/src/membership/change.rs
@@ -1,19 +1,19 @@
-//! What a step of the detector changed for the rest of the machine.
+//! Membership changes that the failure detector reports to the rest of the state machine.
 
 use crate::name::Incarnation;
 
-/// A change among the members.
+/// A change in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A life takes part: a new one, or one that was held to be gone and is not.
-    /// Whatever it is to know, it must be told anew.
+    /// An incarnation became active: either a new one, or one that had been declared gone. It must
+    /// be sent all state from scratch.
     Joined(Incarnation),
-    /// A life stops as planned: it keeps what it has and gets nothing new.
+    /// An incarnation is shutting down as planned. It keeps its current work and gets no new work.
     Leaving(Incarnation),
-    /// A life is held to be gone.
+    /// An incarnation was declared gone.
     Gone(Incarnation),
-    /// Others held the own life to be gone: what they kept for it may be lost.
+    /// Other members had declared the local entry gone, so state that they kept for it may be lost.
     Refuted,
-    /// A later life of the own entry exists: this one must stop.
+    /// A later incarnation of the local entry exists. This one must stop.
     Superseded,
 }
--- a/crates/core/src/membership/detector.rs
+++ b/crates/core/src/membership/detector.rs
@@ -1,8 +1,9 @@
-//! The failure detector: probes a few members at a time, directly and through
-//! others, and passes news on with its probes (the SWIM family of protocols).
+//! A failure detector in the style of SWIM. It probes a few members at a time, directly and
+//! through other members, and piggybacks membership updates on its probes.
 //!
-//! What one entry sends does not grow with the fleet: one probe a period, and a
-//! bounded number of pieces of news with each.
+//! The traffic per entry does not grow with the fleet: an entry starts one probe per period,
+//! plus one to a suspected member if there is any, and each carries a bounded number of
+//! updates.
 
 mod gossip;
 mod greetings;
@@ -23,31 +24,30 @@
 use greetings::Greetings;
 use probes::{Expired, Probes};
 
-/// How often a member is probed. At seven entries each sees every other within
-/// 1.2 s, and each is probed by someone every 200 ms.
+/// The interval between probes. In a fleet of seven entries each entry probes every other one
+/// within 1.2 s, and each is probed by some entry every 200 ms.
 pub const PROBE_PERIOD: Millis = Millis(200);
-/// How long a suspected member has to say that it lives. With two missed
-/// timeouts before it, a killed entry is held to be gone within 2 to 3 s.
+/// How long a suspected member has to refute the suspicion. Together with the two probe
+/// timeouts before it, a killed entry is declared gone within 2 to 3 s.
 pub const SUSPICION_TIMEOUT: Millis = Millis(1_500);
-/// A longer pause between ticks means that this entry itself did not run: it
-/// must not hold others' silence during it against them.
+/// A gap between ticks longer than this means that the local process was stalled. Members must
+/// not be suspected because no answers were processed during it.
 const STALL_THRESHOLD: Millis = Millis(500);
-/// How long a gone member is remembered: longer than the longest partition that
-/// is planned for, so that both sides find one another after it.
+/// How long a gone member is remembered. This exceeds the longest partition planned for, so
+/// that both sides rediscover each other afterwards.
 const GONE_RETENTION: Millis = Millis::from_secs(2 * 60 * 60);
-/// The most members that are kept, gone ones included: several times the
-/// largest fleet planned for.
+/// The maximum number of members, including gone ones; several times the largest planned fleet.
 const MAX_MEMBERS: usize = 2_048;
 
-/// What one step works with.
+/// The inputs and outputs of one step of the state machine.
 pub struct Step<'a> {
-    /// The time.
+    /// The current time.
     pub now: Millis,
-    /// Random numbers.
+    /// The random number generator.
     pub random: &'a mut ChaCha8Rng,
-    /// Takes what is to be sent.
+    /// Collects the actions to carry out.
     pub out: &'a mut Vec<Action>,
-    /// Takes what changed.
+    /// Collects the membership changes.
     pub changes: &'a mut Vec<Change>,
 }
 
@@ -58,23 +58,23 @@
     }
 }
 
-/// One entry's view of the fleet.
+/// The failure detector of one entry.
 #[derive(Debug)]
 pub struct Detector {
     members: Members,
     gossip: Gossip,
     probes: Probes,
     greetings: Greetings,
-    /// When each suspected member is held to be gone.
+    /// The time at which each suspected member is declared gone.
     suspects: BTreeMap<name::Entry, Millis>,
-    /// Entries that an operator wants to take no new work, until they say so.
+    /// Entries that an operator has drained, until they report that they are leaving.
     drained: BTreeMap<name::Entry, name::Incarnation>,
     ticked: Option<Millis>,
     superseded: bool,
 }
 
 impl Detector {
-    /// Only the own entry is known.
+    /// Creates a detector that knows only the local entry.
     pub fn new(own: Member) -> Self {
         Self {
             members: Members::new(own),
@@ -88,22 +88,22 @@
         }
     }
 
-    /// The members.
+    /// Returns the member table.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// What the own entry says of itself from now on.
+    /// Sets the state that the local entry reports about itself.
     pub fn set_heartbeat(&mut self, heartbeat: Heartbeat) {
         self.members.own_mut().heartbeat = heartbeat;
     }
 
-    /// The own entry stops as planned: it takes no new work from now on.
+    /// Announces that the local entry is shutting down and accepts no new work.
     pub fn leave(&mut self, step: &mut Step<'_>) {
         self.retire(Standing::Leaving, step);
     }
 
-    /// The own entry's last word.
+    /// Announces that the local entry is gone. This is its last message.
     pub fn end(&mut self, step: &mut Step<'_>) {
         self.retire(Standing::Gone, step);
     }
@@ -122,8 +122,7 @@
         self.announce_own(step);
     }
 
-    /// An operator wants an entry to take no new work; false if there is none of
-    /// that name.
+    /// Drains an entry on behalf of an operator. Returns false if no entry has that name.
     pub fn drain(&mut self, name: &name::Entry, step: &mut Step<'_>) -> bool {
         let Some(member) = self.members.get(name).cloned() else {
             return false;
@@ -137,7 +136,7 @@
         true
     }
 
-    /// Takes in the platform's list: whom to greet.
+    /// Updates the entries to greet from the platform's instance list.
     pub fn update_listed(&mut self, instances: &[Instance], step: &mut Step<'_>) {
         let own = self.members.own().peer;
         self.greetings.update_listed(instances, own);
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Handles timeouts and starts the probes and greetings that are due.
     pub fn tick(&mut self, step: &mut Step<'_>) {
         self.extend_deadlines_after_stall(step.now);
         for expired in self.probes.expired(step.now) {
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Moves all deadlines by the time in which this entry did not run.
+    /// Extends all deadlines by the time for which the local process was stalled.
     fn extend_deadlines_after_stall(&mut self, now: Millis) {
         let gap = self.ticked.map_or(Millis::ZERO, |ticked| now - ticked);
         self.ticked = Some(now);
@@ -179,7 +178,7 @@
         }
     }
 
-    /// Holds suspects whose time has run out to be gone.
+    /// Declares suspected members gone when their suspicion timeout has passed.
     fn expire_suspects(&mut self, step: &mut Step<'_>) {
         let now = step.now;
         let due: Vec<name::Entry> = self
@@ -200,7 +199,7 @@
         }
     }
 
-    /// A member missed its probes.
+    /// Suspects a member that answered neither direct nor indirect probes.
     fn suspect(&mut self, target: name::Incarnation, step: &mut Step<'_>) {
         let Some(name) = self
             .members
@@ -219,8 +218,8 @@
                     .insert(name.clone(), step.now + SUSPICION_TIMEOUT);
                 self.announce(&name, step);
             }
-            // A suspicion must not hide that it is leaving, so that each entry
-            // keeps this one to itself.
+            // The standing stays `Leaving`, as `Suspect` would hide that the member is leaving.
+            // Only the local entry tracks this suspicion.
             Standing::Leaving => {
                 self.suspects
                     .entry(name)
@@ -230,7 +229,7 @@
         }
     }
 
-    /// Tells drained entries again, until they are seen to leave.
+    /// Resends drain messages to entries that have not yet reported that they are leaving.
     fn remind_drained(&mut self, step: &mut Step<'_>) {
         let members = &self.members;
         self.drained.retain(|name, incarnation| {
@@ -245,7 +244,7 @@
         }
     }
 
-    /// Forgets members that have been gone for long.
+    /// Removes members that have been gone for longer than the retention period.
     fn purge_gone(&mut self, now: Millis) {
         let old: Vec<name::Entry> = self
             .members
@@ -260,7 +259,7 @@
         }
     }
 
-    /// Takes in a message of another entry.
+    /// Handles a message from another entry.
     pub fn receive(&mut self, from: name::Incarnation, message: Message, step: &mut Step<'_>) {
         match message {
             Message::Probe { number, sender } => {
@@ -304,7 +303,7 @@
         self.update_last_heard(from, step.now);
     }
 
-    /// Notes that a member spoke.
+    /// Records when a member was last heard from.
     fn update_last_heard(&mut self, from: name::Incarnation, now: Millis) {
         let name = self
             .members
--- a/crates/core/src/membership/detector/gossip.rs
+++ b/crates/core/src/membership/detector/gossip.rs
@@ -1,4 +1,4 @@
-//! News that is passed on with probes and answers.
+//! Dissemination of membership updates, piggybacked on probes and answers.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,35 @@
 use crate::membership::{Member, Message, Standing};
 use crate::name;
 
-/// Pieces of news in one message: with it a probe takes about 300 bytes.
+/// The maximum number of updates piggybacked on a probe, which then takes about 300 bytes.
 const MAX_NEWS_PER_PROBE: usize = 4;
-/// Pieces of news in a message that holds nothing else; it fits in a datagram
-/// even with the longest names.
+/// The number of updates in a message that carries only updates. Four fit in a datagram even
+/// with names of maximum length.
 const MAX_NEWS_PER_TABLE_MESSAGE: usize = 4;
-/// Each change is sent this many times the logarithm of the fleet's size, which
-/// reaches every entry with a probability near one.
+/// Each change is sent this many times the base-2 logarithm of the fleet size, which reaches
+/// every entry with a probability close to one.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
-/// Members that are told at once of a change that this entry found.
+/// The number of members that are immediately sent a change detected by the local entry.
 const ANNOUNCE_FANOUT: usize = 8;
-/// Members that are told at once of a change that this entry heard of. Passed on
-/// so, a change reaches nearly all of any fleet within a few round trips.
+/// The number of members that are immediately sent a change received from another entry. With
+/// this fanout a change reaches nearly all of a fleet of any size within a few round trips.
 const FORWARD_FANOUT: usize = 3;
 
-/// Changes that are still to be passed on.
+/// The queue of updates to disseminate.
 #[derive(Debug, Default)]
 pub struct Gossip {
-    /// How often the news of each member was sent.
+    /// How often the update of each member has been sent.
     sent: BTreeMap<name::Entry, u32>,
 }
 
 impl Gossip {
-    /// There is news of a member.
+    /// Queues the update of a member and resets its send count.
     pub fn enqueue(&mut self, name: &name::Entry) {
         self.sent.insert(name.clone(), 0);
     }
 
-    /// The members whose news was sent least, counted as sent once more.
+    /// Returns the members whose updates have been sent least often, and counts them as sent once
+    /// more.
     fn next_batch(&mut self, members: usize) -> Vec<name::Entry> {
         let mut names: Vec<(u32, name::Entry)> = self
             .sent
@@ -57,14 +58,15 @@
 }
 
 impl Detector {
-    /// The news of the own entry, with the time.
+    /// Returns the local entry's state with a current timestamp.
     pub(super) fn own_news(&mut self, now: Millis) -> Member {
         let own = self.members.own_mut();
         own.heartbeat.updated_at = now;
         own.clone()
     }
 
-    /// Sends changes and, where there is room, what is known of any other member.
+    /// Sends queued updates and fills the remaining space with the state of randomly chosen
+    /// members.
     pub(super) fn send_news(&mut self, to: &Member, step: &mut Step<'_>) {
         let count = self.members.count();
         let mut names = self.gossip.next_batch(count);
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Whether what is known of a member is not what it says, or should not be.
+    /// Returns whether a member should be sent its own recorded state: it is recorded as not live,
+    /// under another incarnation or with a higher version, so the member may have to refute it.
     fn needs_refutation(&self, to: &Member) -> bool {
         self.members.get(&to.name).is_some_and(|known| {
             known.standing != Standing::Live
@@ -103,13 +106,13 @@
         })
     }
 
-    /// Tells some members at once of a change that this entry found, and all by
-    /// and by.
+    /// Sends a change that the local entry detected to some members immediately, and queues it for
+    /// the others.
     pub(super) fn announce(&mut self, name: &name::Entry, step: &mut Step<'_>) {
         self.disseminate(name, ANNOUNCE_FANOUT, step);
     }
 
-    /// Passes on a change that this entry heard of.
+    /// Forwards a change received from another entry.
     pub(super) fn forward(&mut self, name: &name::Entry, step: &mut Step<'_>) {
         self.disseminate(name, FORWARD_FANOUT, step);
     }
@@ -127,13 +130,13 @@
         }
     }
 
-    /// Tells of a change of the own entry.
+    /// Announces a change in the local entry's state.
     pub(super) fn announce_own(&mut self, step: &mut Step<'_>) {
         let own = self.own_news(step.now).name;
         self.announce(&own, step);
     }
 
-    /// Sends everything to a member.
+    /// Sends the full member table.
     pub(super) fn send_table(&mut self, to: &Member, step: &mut Step<'_>) {
         self.own_news(step.now);
         let all: Vec<Member> = self.members.iter().cloned().collect();
--- a/crates/core/src/membership/detector/greetings.rs
+++ b/crates/core/src/membership/detector/greetings.rs
@@ -1,5 +1,5 @@
-//! Finding entries that are not known: from the platform's list, and those that
-//! were held to be gone and may be on the other side of a partition.
+//! Discovery of unknown entries from the platform's instance list, and of gone entries that may
+//! be on the other side of a partition.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,13 @@
 use crate::message;
 use crate::name;
 
-/// How often one unknown or gone entry is greeted.
+/// The interval between greetings; each goes to one unknown or gone entry.
 const PERIOD: Millis = Millis(1_000);
-/// Entries that a new one greets at once: one of them answers, most likely.
+/// The number of entries that a new entry greets at once. With three, it is very likely that at
+/// least one answers.
 pub const INITIAL_GREETINGS: usize = 3;
 
-/// Whom the platform lists.
+/// The entries in the platform's instance list.
 #[derive(Debug, Default)]
 pub struct Greetings {
     listed: BTreeMap<name::Entry, SocketAddr>,
@@ -27,7 +28,7 @@
 }
 
 impl Greetings {
-    /// Takes in the platform's list.
+    /// Updates the entries from the platform's instance list.
     pub fn update_listed(&mut self, instances: &[Instance], own: SocketAddr) {
         let entries = instances
             .iter()
@@ -39,7 +40,7 @@
             .collect();
     }
 
-    /// Whether a period has passed; if so, the next one begins.
+    /// Returns whether a greeting is due, and if so schedules the next one.
     pub fn due(&mut self, now: Millis) -> bool {
         if now < self.next {
             return false;
@@ -50,7 +51,7 @@
 }
 
 impl Detector {
-    /// Greets some of those that are listed and not known, or gone.
+    /// Greets some of the entries that are gone, or listed and unknown.
     pub(super) fn greet(&mut self, count: usize, step: &mut Step<'_>) {
         let unknown_or_gone = self.unknown_or_gone();
         for peer in unknown_or_gone
@@ -78,11 +79,11 @@
                 known.is_none_or(|known| known.standing == Standing::Gone)
             })
             .map(|(name, peer)| (name.clone(), *peer));
-        // The list knows better than memory where an entry is now.
+        // The platform's list overrides remembered addresses, as it is more recent.
         gone.chain(unknown).collect()
     }
 
-    /// Answers a greeting with everything.
+    /// Answers a greeting with the full member table.
     pub(super) fn welcome(&mut self, sender: &Member, step: &mut Step<'_>) {
         self.send_table(sender, step);
         let own = self.own_news(step.now);
--- a/crates/core/src/membership/detector/merge.rs
+++ b/crates/core/src/membership/detector/merge.rs
@@ -1,4 +1,5 @@
-//! Takes news in: which of two pieces holds, and what follows from it.
+//! Merges received updates: decides which of two updates takes precedence, and applies the
+//! result.
 
 use std::cmp::Ordering;
 
@@ -6,7 +7,7 @@
 use crate::membership::{Change, Member, Standing};
 
 impl Detector {
-    /// Takes in what is said of a member.
+    /// Merges an update about a member.
     pub(super) fn merge(&mut self, news: Member, step: &mut Step<'_>) {
         if news.name == self.members.own().name {
             return self.refute(&news, step);
@@ -15,14 +16,16 @@
             return self.add_unknown(news, step);
         };
         match news.incarnation.cmp(&known.incarnation) {
-            // The sender is behind, and will hear of the later life.
+            // The sender's information is outdated. Queue the later incarnation so that it reaches
+            // the sender.
             Ordering::Less => self.gossip.enqueue(&news.name),
             Ordering::Equal => self.update(&news, step),
             Ordering::Greater => self.replace_incarnation(news, step),
         }
     }
 
-    /// Speaks up against news that the own entry is worse off than it is.
+    /// Refutes an update that reports a worse standing for the local entry, and detects a later
+    /// incarnation of it.
     fn refute(&mut self, news: &Member, step: &mut Step<'_>) {
         let own = self.members.own_mut();
         match news.incarnation.cmp(&own.incarnation) {
@@ -49,8 +52,8 @@
         }
     }
 
-    /// Takes in a member whose name is new. One that is gone already is of no
-    /// interest: keeping it would let news of the dead go round for ever.
+    /// Adds a member with a previously unknown name. A member that is already gone is ignored:
+    /// otherwise updates about gone members would circulate forever.
     fn add_unknown(&mut self, news: Member, step: &mut Step<'_>) {
         if news.standing == Standing::Gone || self.members.count() >= MAX_MEMBERS {
             return;
@@ -58,7 +61,7 @@
         self.join(news, step);
     }
 
-    /// Takes in a later life of a known name.
+    /// Replaces a known member with a later incarnation of the same name.
     fn replace_incarnation(&mut self, news: Member, step: &mut Step<'_>) {
         let Some(old) = self.members.get(&news.name) else {
             return;
@@ -91,7 +94,7 @@
         self.forward(&name, step);
     }
 
-    /// Takes in news of the life that is known.
+    /// Merges an update about the known incarnation.
     fn update(&mut self, news: &Member, step: &mut Step<'_>) {
         let Some(known) = self.members.get_mut(&news.name) else {
             return;
@@ -106,8 +109,8 @@
             return;
         }
         let before = known.standing;
-        // Others' word that a live member is gone may be the word of the other
-        // side of a partition: the member gets the time to speak up.
+        // A report that a live member is gone may come from the other side of a partition. The
+        // member is only suspected, so that it has time to refute the report.
         let standing = match (before, news.standing) {
             (Standing::Live | Standing::Suspect, Standing::Gone) => Standing::Suspect,
             (_, standing) => standing,
@@ -123,7 +126,7 @@
         self.apply_standing(news, before, standing, step);
     }
 
-    /// Carries out what follows from a member's new standing.
+    /// Applies the consequences of a member's new standing.
     fn apply_standing(
         &mut self,
         news: &Member,
--- a/crates/core/src/membership/detector/probes.rs
+++ b/crates/core/src/membership/detector/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: whose turn it is, which are on their way, and which were missed.
+//! Probe scheduling, probes in flight and probe timeouts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,26 +11,26 @@
 use crate::membership::{Member, Message, Standing};
 use crate::name::{self, Incarnation};
 
-/// How long an answer may take: a hundred times the round trip between data
-/// centres, for instances that are busy for a moment.
+/// The timeout of a direct probe: a hundred times the round trip between data centres, which
+/// allows for instances that are briefly overloaded.
 const DIRECT_TIMEOUT: Millis = Millis(300);
-/// The same for an answer through another entry.
+/// The timeout of an indirect probe.
 const RELAYED_TIMEOUT: Millis = Millis(300);
-/// Entries that are asked to try in one's place, so that one bad path is not
-/// taken for a dead entry.
+/// The number of entries asked to probe a member indirectly, so that one bad network path is
+/// not mistaken for a failed entry.
 const INDIRECT_PROBES: usize = 3;
-/// Probes that one entry carries out for others at a time; more are refused, so
-/// that no one can make it a source of traffic.
+/// The maximum number of concurrent probes on behalf of other entries. Further requests are
+/// ignored, so that an entry cannot be made to amplify traffic.
 const MAX_ON_BEHALF: usize = 64;
 
-/// Why a probe was sent.
+/// The kind of a probe in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It was this member's turn.
+    /// A direct probe of the scheduled round.
     Direct,
-    /// The direct one was missed, and others try.
+    /// The direct probe timed out, and other entries are probing the member.
     Relayed,
-    /// Another entry asked for it, under a number of its own.
+    /// A probe requested by another entry, with the number that entry uses for it.
     OnBehalf(Incarnation, u64),
 }
 
@@ -41,27 +41,27 @@
     stage: Stage,
 }
 
-/// A probe whose time has run out.
+/// A probe that timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expired {
-    /// No direct answer: its number, and the member.
+    /// A direct probe: its number and its target.
     Direct(u64, Incarnation),
-    /// No answer through others either.
+    /// The indirect probes of a target.
     Relayed(Incarnation),
 }
 
-/// The probes of one entry.
+/// The probe state of one entry.
 #[derive(Debug, Default)]
 pub struct Probes {
     next: Millis,
     number: u64,
-    /// Those still to be probed in this round, in random order.
+    /// The members still to be probed in this round, in random order.
     round: Vec<name::Entry>,
     pending: BTreeMap<u64, Pending>,
 }
 
 impl Probes {
-    /// Whether a period has passed; if so, the next one begins.
+    /// Returns whether a probe is due, and if so schedules the next one.
     pub fn due(&mut self, now: Millis) -> bool {
         if now < self.next {
             return false;
@@ -70,7 +70,8 @@
         true
     }
 
-    /// Takes out the probes whose time has run out; direct ones go on as relayed.
+    /// Removes and returns the probes that timed out. Direct probes stay in flight as indirect
+    /// ones.
     pub fn expired(&mut self, now: Millis) -> Vec<Expired> {
         let is_overdue = |pending: &Pending| pending.deadline <= now;
         let mut expired = Vec::new();
@@ -92,7 +93,7 @@
         expired
     }
 
-    /// Gives all probes more time.
+    /// Extends the deadlines of all probes.
     pub fn postpone(&mut self, span: Millis) {
         for pending in self.pending.values_mut() {
             pending.deadline = pending.deadline + span;
@@ -119,7 +120,8 @@
 }
 
 impl Detector {
-    /// Probes the member whose turn it is, and one suspect so that it can speak up.
+    /// Probes the next member of the round, and one suspected member so that it can refute the
+    /// suspicion.
     pub(super) fn probe(&mut self, step: &mut Step<'_>) {
         let turn = self.next_in_round(step);
         let suspect = self
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The next member of the round; a round has every member that is not gone.
+    /// Returns the next member of the round. Each round covers all members that are not gone.
     fn next_in_round(&mut self, step: &mut Step<'_>) -> Option<Member> {
         for _ in 0..2 {
             while let Some(name) = self.probes.round.pop() {
@@ -163,7 +165,8 @@
     }
 
     fn send_probe(&mut self, number: u64, member: &Member, step: &mut Step<'_>) {
-        // News goes first: a suspect that reads of it answers as live.
+        // Updates are sent first, so that a suspected member learns of the suspicion and refutes it
+        // in its answer.
         self.send_news(member, step);
         let sender = self.own_news(step.now);
         step.send(member, Message::Probe { number, sender });
@@ -176,7 +179,7 @@
         step.send(to, Message::Answer { number, sender });
     }
 
-    /// Asks others to probe a member that did not answer.
+    /// Asks other members to probe a member that did not answer a direct probe.
     pub(super) fn probe_indirectly(
         &mut self,
         number: u64,
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Probes a member for another entry.
+    /// Probes a member on behalf of another entry.
     pub(super) fn probe_on_behalf(
         &mut self,
         from: Incarnation,
@@ -223,7 +226,8 @@
         self.send_probe(own, &member, step);
     }
 
-    /// Takes in an answer, own or passed on.
+    /// Handles an answer to a probe, and forwards it if the probe was sent on behalf of another
+    /// entry.
     pub(super) fn handle_answer(&mut self, number: u64, sender: &Member, step: &mut Step<'_>) {
         let matches = |pending: &&Pending| pending.target == sender.incarnation;
         let Some(pending) = self.probes.pending.get(&number).filter(matches).copied() else {
@@ -243,7 +247,7 @@
     }
 }
 
-/// Fisher and Yates' shuffle, so that no member is always last.
+/// Shuffles the names (Fisher-Yates), so that no member is always last in a round.
 fn shuffle(names: &mut [name::Entry], step: &mut Step<'_>) {
     for last in (1..names.len()).rev() {
         names.swap(last, step.random.random_range(0..=last));
--- a/crates/core/src/membership/home.rs
+++ b/crates/core/src/membership/home.rs
@@ -1,12 +1,12 @@
-//! Which entry is home to a pool: rendezvous hashing over the active entries.
+//! Assigns each pool to its home entry by rendezvous hashing over the active entries.
 
 use crate::membership::{Member, Members};
 use crate::name;
 
 impl Members {
-    /// The home of a pool: an active entry of the pool's data centre, or any
-    /// active one if there is none. Entries that see the same members agree;
-    /// when one goes, only its own pools move.
+    /// Returns the home of a pool: an active entry in the pool's data centre, or any active entry
+    /// if that data centre has none. Entries with the same view of the membership choose the same
+    /// home. When an entry goes away, only its own pools are reassigned.
     pub fn home(&self, pool: &name::Pool) -> Option<&Member> {
         let in_data_centre = self
             .active()
@@ -17,7 +17,8 @@
     }
 }
 
-/// The member's score for a pool; by name, so that a restart keeps its pools.
+/// Returns the rendezvous score of a member for a pool. The score depends on the name rather
+/// than the incarnation, so a restarted entry gets the same pools.
 fn score(member: &Member, pool: &name::Pool) -> (u64, name::Entry) {
     let mut hasher = blake3::Hasher::new();
     for part in [
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One entry's life, and what is known of it.
+//! The state of one member.
 
 use std::net::SocketAddr;
 
@@ -7,61 +7,61 @@
 use crate::clock::Millis;
 use crate::name;
 
-/// Whether a member takes part. Of two pieces of news with the same version the
-/// later in this order holds.
+/// Membership status. Of two updates with the same version, the one that is later in this order
+/// takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// Answers.
+    /// Responds to probes.
     Live,
-    /// Missed probes, but may come back.
+    /// Missed probes, but has not been declared gone.
     Suspect,
-    /// Stops as planned: takes no new work and is home to nothing.
+    /// Is shutting down as planned: accepts no new work and is home to no pool.
     Leaving,
-    /// Gone; a later life is another member of the same name.
+    /// Is gone. A later incarnation replaces it under the same name.
     Gone,
 }
 
-/// One life of an entry. In this form it is also the news of it.
+/// One incarnation of an entry. Gossip carries updates in this form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The entry's name.
     pub name: name::Entry,
-    /// This life; larger than that of any earlier life of the name.
+    /// This incarnation; greater than every earlier one of the same name.
     pub incarnation: name::Incarnation,
-    /// Its data centre.
+    /// The entry's data centre.
     pub data_centre: name::DataCentre,
-    /// Where it takes other entries' messages.
+    /// The address that receives messages from other entries.
     pub peer: SocketAddr,
-    /// Where it takes callers' requests.
+    /// The address that serves callers' requests.
     pub http: SocketAddr,
-    /// Whether it takes part.
+    /// The membership status.
     pub standing: Standing,
-    /// Orders news of the standing; only the member itself raises it.
+    /// Orders updates to `standing`. Only the member itself increments it.
     pub version: u32,
-    /// What it says of itself.
+    /// The state that the member last reported about itself.
     pub heartbeat: Heartbeat,
-    /// When this was last heard of, on the own clock.
+    /// When the member was last heard from, by the local clock.
     #[serde(skip)]
     pub heard: Millis,
 }
 
-/// What a member says of itself, time and again.
+/// State that a member reports about itself periodically.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Orders the figures: the member's own clock.
+    /// When the member produced this heartbeat, by its own clock. Orders its heartbeats.
     pub updated_at: Millis,
-    /// The configuration that it has in force; 0 before its first.
+    /// The revision of the active configuration; 0 before the first one is applied.
     pub revision: u64,
-    /// Whether it takes new work.
+    /// Whether the member accepts new work.
     pub ready: bool,
-    /// Requests that it has taken and not yet ended.
+    /// Number of requests accepted and not yet finished.
     pub running: u32,
-    /// Digest of what it knows of the endpoints' states, the same where two agree.
+    /// Digest of the member's view of endpoint states; equal for two members whose views agree.
     pub endpoints: u32,
 }
 
 impl Member {
-    /// Whether it takes part: live, or only suspected.
+    /// Returns whether the member is live or only suspected.
     pub fn active(&self) -> bool {
         matches!(self.standing, Standing::Live | Standing::Suspect)
     }
--- a/crates/core/src/membership/members.rs
+++ b/crates/core/src/membership/members.rs
@@ -1,4 +1,4 @@
-//! The members, by name, by life and by address.
+//! A table of the members, indexed by name and by incarnation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use crate::membership::{Member, Standing};
 use crate::name;
 
-/// All members, the own entry included.
+/// All known members, including the local entry.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: name::Entry,
@@ -15,7 +15,7 @@
 }
 
 impl Members {
-    /// Only the own entry is known.
+    /// Creates a table that contains only the local entry.
     pub fn new(own: Member) -> Self {
         let name = own.name.clone();
         Self {
@@ -25,59 +25,59 @@
         }
     }
 
-    /// The own entry.
+    /// Returns the local entry.
     ///
     /// # Panics
     ///
-    /// Never: the own entry is never removed.
+    /// Never: the local entry is never removed.
     pub fn own(&self) -> &Member {
         &self.by_name[&self.own]
     }
 
-    /// All members, by name.
+    /// Iterates over all members, in order of name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.by_name.values()
     }
 
-    /// All members but the own entry, by name.
+    /// Iterates over all members except the local entry, in order of name.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.name != self.own)
     }
 
-    /// How many members are known, gone ones included.
+    /// Returns the number of known members, including those that are gone.
     pub fn count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// A member by its name.
+    /// Looks up a member by name.
     pub fn get(&self, name: &name::Entry) -> Option<&Member> {
         self.by_name.get(name)
     }
 
-    /// A member by its life.
+    /// Looks up a member by incarnation.
     pub fn by_incarnation(&self, incarnation: name::Incarnation) -> Option<&Member> {
         self.by_name
             .get(self.names_by_incarnation.get(&incarnation)?)
     }
 
-    /// The life that takes messages at an address, if it is known and not gone.
+    /// Looks up the member that receives messages at an address and is not gone.
     pub fn by_peer(&self, peer: SocketAddr) -> Option<&Member> {
         self.by_name
             .values()
             .find(|member| member.peer == peer && member.standing != Standing::Gone)
     }
 
-    /// The members that take part: live, and those that are only suspected.
+    /// Iterates over the active members: live ones, and those that are only suspected.
     pub fn active(&self) -> impl Iterator<Item = &Member> {
         self.by_name.values().filter(|member| member.active())
     }
 
-    /// The members that take part, but for the own entry.
+    /// Iterates over the active members except the local entry.
     pub fn active_others(&self) -> impl Iterator<Item = &Member> {
         self.others().filter(|member| member.active())
     }
 
-    /// Puts a member in place of what was known of its name.
+    /// Inserts a member, replacing the known member of the same name.
     pub fn put(&mut self, member: Member) {
         let name = member.name.clone();
         let incarnation = member.incarnation;
@@ -87,12 +87,12 @@
         self.names_by_incarnation.insert(incarnation, name);
     }
 
-    /// Changes a member in place; its name and life must stay.
+    /// Returns a member for modification. The caller must not change its name or incarnation.
     pub(crate) fn get_mut(&mut self, name: &name::Entry) -> Option<&mut Member> {
         self.by_name.get_mut(name)
     }
 
-    /// Changes the own entry in place.
+    /// Returns the local entry for modification.
     pub(crate) fn own_mut(&mut self) -> &mut Member {
         let own = self.own.clone();
         self.by_name
@@ -100,7 +100,7 @@
             .expect("the own entry is never removed")
     }
 
-    /// Forgets a member; the own entry stays.
+    /// Removes a member. The local entry is never removed.
     pub(crate) fn remove(&mut self, name: &name::Entry) {
         if *name == self.own {
             return;
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! Messages by which entries see one another.
+//! Messages of the membership protocol.
 
 use std::net::SocketAddr;
 
@@ -9,45 +9,46 @@
 
 /// A message of the membership protocol.
 ///
-/// News is ordered by life, version and standing, so that what is lost, repeated
-/// or late does no harm.
+/// Updates are ordered by incarnation, version and standing, so lost, duplicated and delayed
+/// messages are harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for an [`Message::Answer`] with the same number.
+    /// Requests an [`Message::Answer`] with the same number.
     Probe {
-        /// Names the probe to its sender.
+        /// Identifies the probe to its sender.
         number: u64,
         /// The sender.
         sender: Member,
     },
-    /// Answers a probe.
+    /// Acknowledges a probe.
     Answer {
-        /// The probe's number.
+        /// The number of the probe.
         number: u64,
         /// The member that was probed.
         sender: Member,
     },
-    /// Asks the receiver to probe another member and to pass on its answer.
+    /// Requests an indirect probe: the receiver probes the target and forwards its answer.
     Relay {
-        /// The number of the answer to pass on.
+        /// The number to use in the forwarded answer.
         number: u64,
-        /// The member to probe.
+        /// The incarnation to probe.
         target: name::Incarnation,
-        /// Its address.
+        /// The address of the target.
         peer: SocketAddr,
     },
-    /// What the sender knows of some members.
+    /// The sender's state of some members.
     News(Vec<Member>),
-    /// Asks an address for everything: the sender does not know who is there.
+    /// Requests the full member table. Sent to an address whose incarnation the sender does not
+    /// know.
     Greeting(Member),
-    /// Follows everything that its sender knows, and asks for the same.
+    /// Ends a full member table and requests the receiver's table in return.
     Welcome(Member),
-    /// An operator wants the receiver to take no new work.
+    /// Tells the receiver to stop accepting new work, on behalf of an operator.
     Drain(name::Incarnation),
 }
 
 impl Message {
-    /// What a life says of itself in this message, if it sent it itself.
+    /// Returns the sender's state if this message carries it and `from` is that sender.
     pub fn first_hand(&self, from: name::Incarnation) -> Option<&Member> {
         match self {
             Self::Probe { sender, .. }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,26 +1,30 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! A caller may send one request again and again, each time under a new identity and at another
-//! entry. If it crashes whatever runs it, it takes down a fleet of endpoints one by one, with all
-//! that runs beside it. So entries remember by [`Fingerprint`] which requests an endpoint had when
-//! it crashed, tell one another, and withhold the ones that must be the cause.
+//! A caller may resend the same request repeatedly, each time with a new identity and through
+//! another entry. If the request crashes every endpoint that runs it, it takes down a fleet of
+//! endpoints one by one, together with all other requests that run there. Entries therefore
+//! record by [`Fingerprint`] which requests were running on an endpoint when it crashed,
+//! exchange these records, and withhold the requests identified as the cause.
 //!
-//! A crash cuts off many requests, of which one at most is the cause, and endpoints crash by
-//! themselves too. A request is withheld only if
+//! A crash interrupts many requests, of which at most one is the cause, and endpoints also
+//! crash for other reasons. A request is withheld only if
 //!
-//! - it was sent again after each of [`CRASH_THRESHOLD`] crashes, to crash the next endpoint: many
-//!   endpoints that end at the same moment are one such crash, however many had the request. All
-//!   of them came at the same place of its answer: a long stream may be cut off by many crashes,
-//!   but at any place;
-//! - no run of it has ended well since, at any entry that has told of it. A request that ended
-//!   well lately needs [`UNCERTAIN_CRASH_THRESHOLD`] crashes, as it may merely be popular;
-//! - one of those crashes at least cut off no request with as many crashes as this one. Until
-//!   then what only stood beside looks like the cause, and needs [`UNCERTAIN_CRASH_THRESHOLD`], as the cause does.
-//!   Of two that are alike by then, the one is the cause of which fewer runs were cut off: the
-//!   other is merely sent so often that it stands beside each crash.
+//! - it was resent after each of [`CRASH_THRESHOLD`] crashes and was running when the next
+//!   endpoint crashed. Endpoints that crash at the same moment count as one crash, however many
+//!   of them had the request. All crashes must have occurred at the same position of its
+//!   response: a long stream may be interrupted by many crashes, but at arbitrary positions;
+//! - no run of it has completed since, at any entry whose records were received. A request that
+//!   completed recently needs [`UNCERTAIN_CRASH_THRESHOLD`] crashes, as it may merely be
+//!   popular;
+//! - at least one of those crashes interrupted no other request with as many crashes. Until
+//!   then the cause and the requests that ran beside it cannot be told apart, and each needs
+//!   [`UNCERTAIN_CRASH_THRESHOLD`] crashes. If two requests still have the same number of
+//!   crashes then, the one with fewer interrupted runs is the cause: the other is sent so often
+//!   that some run of it is interrupted by every crash.
 //!
-//! It is tried again after [`HOLD_DURATION`], or [`UNCERTAIN_HOLD_DURATION`], which doubles with each crash that
-//! follows, and not any more after [`MAX_TRIALS`] of them, until it is forgotten.
+//! A withheld request may be tried again after [`HOLD_DURATION`] or
+//! [`UNCERTAIN_HOLD_DURATION`]. The duration doubles with each further crash. After
+//! [`MAX_TRIALS`] such crashes the request is not tried again until its record is removed.
 
 mod message;
 mod record;
@@ -35,69 +39,72 @@
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::record::{Confidence, HoldState, Record};
 
-/// After how many crashes in a row a request is withheld: what operators allow it.
+/// Number of sequential crashes after which a request is withheld; the limit that operators
+/// accept.
 pub const CRASH_THRESHOLD: usize = 3;
-/// After how many it is withheld where another request, or chance, may be the cause. Three
-/// crashes by chance in a row are seen where endpoints flap; two more cost two endpoints.
+/// Number of sequential crashes after which a request is withheld if another request, or
+/// chance, may be the cause. Three sequential crashes by chance do occur where endpoints flap;
+/// two more cost two endpoints.
 pub const UNCERTAIN_CRASH_THRESHOLD: usize = 5;
-/// Crashes after more pieces of an answer need [`UNCERTAIN_CRASH_THRESHOLD`], too: a request that crashes what begins
-/// to run it does so in its first pieces, and where crashes come at even intervals they cut off a
-/// stream that is sent again after each one at the same place.
+/// Crashes after more pieces of the response than this count only towards
+/// [`UNCERTAIN_CRASH_THRESHOLD`]. A request that crashes endpoints as it starts to run does so
+/// within its first pieces. Crashes at regular intervals can interrupt a stream that is resent
+/// after each one at the same position.
 const MAX_EARLY_PIECES: u32 = 8;
-/// How long a request is withheld after the crash that led to it: an endpoint is mended, or its
-/// program replaced, in minutes.
+/// How long a request is withheld after the crash that triggered the hold. Repairing an
+/// endpoint or replacing its program takes minutes.
 pub const HOLD_DURATION: Millis = Millis::from_secs(600);
-/// The same where another request, or chance, may be the cause.
+/// How long a request is withheld if another request, or chance, may be the cause.
 pub const UNCERTAIN_HOLD_DURATION: Millis = Millis::from_secs(60);
-/// How often it may crash an endpoint after that.
+/// How many further endpoints a request may crash after it was first withheld.
 pub const MAX_TRIALS: u32 = 3;
-/// After so long without a crash a request is forgotten: above the other holds.
+/// Records without a crash for this long are removed. This exceeds the other hold durations.
 pub const RETENTION: Millis = Millis::from_secs(2 * 3_600);
-/// The most requests that are remembered with their crashes, in 0.3 kB each. A crash at the
-/// planned size cuts off 47.
+/// The maximum number of crash records, at 0.3 kB each. A crash at the planned size interrupts
+/// 47 requests.
 const MAX_RECORDS: usize = 1_024;
-/// The most requests of which it is remembered that they ended well: those of a minute at an
-/// entry of the planned size, in 0.1 kB each.
+/// The maximum number of requests whose last successful completion is remembered, at 0.1 kB
+/// each. This covers one minute at an entry of the planned size.
 const MAX_SUCCESSES: usize = 2_048;
-/// For how long other entries are told of a record that has changed: some rounds of messages,
-/// and by then it has passed through all of them.
+/// How long a changed record is sent to other entries. This spans several gossip rounds, within
+/// which the record has reached all entries.
 const SEND_WINDOW: Millis = Millis(3_000);
 
-/// A request that is withheld.
+/// The hold on a withheld request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// How many endpoints have crashed with it, one after the other.
+    /// Number of sequential endpoint crashes with the request.
     pub crashes: usize,
-    /// When the last of them did.
+    /// Time of the last crash.
     pub since: Millis,
-    /// When it may be tried again.
+    /// When the request may be tried again.
     pub until: Millis,
 }
 
-/// What a crash, or news of some, have led to.
+/// The effects of a crash, of a completed run or of received crash histories.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Requests that are withheld from now on.
+    /// Requests that are newly withheld.
     pub withheld: Vec<Fingerprint>,
-    /// Requests that are not withheld any more.
+    /// Requests that are no longer withheld.
     pub released: Vec<Fingerprint>,
-    /// Whether other entries should hear of it at once: a request has crashed one endpoint
-    /// after another.
+    /// Whether other entries should be informed immediately, as a request has crashed several
+    /// endpoints in sequence.
     pub is_urgent: bool,
 }
 
-/// The requests that had an endpoint when it crashed.
+/// Crash records of requests, and the resulting holds.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, Record>,
-    /// When requests last ended well, as far as that is remembered.
-    survived: HashMap<Fingerprint, Millis>,
-    /// The same, the earliest first.
+    /// When each request last completed successfully; at most `MAX_SUCCESSES` of them.
+    successes: HashMap<Fingerprint, Millis>,
+    /// The keys of `successes`, in order of insertion.
     order: VecDeque<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Takes in that an endpoint crashed while it had the request.
+    /// Records that an endpoint crashed while it was running the request.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -116,25 +123,25 @@
     /// assert!(quarantine.hold(request, Millis(4_000)).is_some());
     /// ```
     pub fn record_crash(&mut self, request: Fingerprint, crash: Crash, now: Millis) -> Change {
-        let survived = self.survived.get(&request);
-        if survived.is_some_and(|at| *at >= crash.at) {
+        let last_success = self.successes.get(&request);
+        if last_success.is_some_and(|at| *at >= crash.at) {
             return Change::default();
         }
         let record = self.records.entry(request).or_default();
-        record.is_popular |= survived.is_some();
+        record.is_popular |= last_success.is_some();
         let is_urgent = record.record_run(crash, now);
         self.update_holds(is_urgent, now)
     }
 
-    /// Takes in that a run of the request has ended, and its endpoint goes on: it was not the
-    /// cause of crashes before.
+    /// Records that a run of the request completed and its endpoint is still up, so the request did
+    /// not cause the earlier crashes.
     pub fn record_success(&mut self, request: Fingerprint, now: Millis) -> Change {
-        if self.survived.insert(request, now).is_none() {
+        if self.successes.insert(request, now).is_none() {
             self.order.push_back(request);
         }
         while self.order.len() > MAX_SUCCESSES {
             if let Some(oldest) = self.order.pop_front() {
-                self.survived.remove(&oldest);
+                self.successes.remove(&oldest);
             }
         }
         let Some(record) = self.records.get_mut(&request) else {
@@ -144,25 +151,25 @@
         self.update_holds(false, now)
     }
 
-    /// Whether a request is withheld.
+    /// Returns the hold on a request if it is currently withheld.
     pub fn hold(&self, request: Fingerprint, now: Millis) -> Option<Hold> {
         let hold = self.records.get(&request)?.hold()?;
         (now < hold.until).then_some(hold)
     }
 
-    /// What is known of a request, as others are told; none if it is not withheld.
+    /// Returns the crash history of a request if it is currently withheld.
     pub fn withheld_history(&self, request: Fingerprint, now: Millis) -> Option<CrashHistory> {
         self.hold(request, now)?;
         Some(self.records.get(&request)?.history(request, now))
     }
 
-    /// All requests that are withheld.
+    /// Iterates over all requests that are currently withheld.
     pub fn withheld(&self, now: Millis) -> impl Iterator<Item = (Fingerprint, Hold)> {
         let all = self.records.keys();
         all.filter_map(move |request| Some((*request, self.hold(*request, now)?)))
     }
 
-    /// Forgets what is long over, and the least of what is too much.
+    /// Removes expired records, and those with the lowest rank if there are too many.
     pub fn expire(&mut self, now: Millis) {
         self.records
             .retain(|_, record| now - record.last() < RETENTION);
@@ -178,8 +185,9 @@
         }
     }
 
-    /// What other entries should hear: of so many requests at most, the news with the most
-    /// crashes first, then all that are withheld, in turns.
+    /// Returns at most `limit` crash histories to send to other entries. Recently changed records
+    /// come first, then the other withheld requests. Within each group those with the most crashes
+    /// come first, and among equals those sent least recently.
     pub fn histories_to_send(&mut self, limit: usize, now: Millis) -> Vec<CrashHistory> {
         let should_send =
             |record: &Record| record.held.is_some() || now - record.changed() < SEND_WINDOW;
@@ -194,12 +202,13 @@
                 **request,
             )
         });
-        let told = records.into_iter().take(limit);
-        told.map(|(request, record)| record.send_history(*request, now))
+        let selected = records.into_iter().take(limit);
+        selected
+            .map(|(request, record)| record.send_history(*request, now))
             .collect()
     }
 
-    /// Takes in what another entry tells.
+    /// Merges crash histories received from another entry.
     pub fn merge_histories(&mut self, histories: &[CrashHistory], now: Millis) -> Change {
         if histories.is_empty() {
             return Change::default();
@@ -208,14 +217,14 @@
         for history in histories {
             let record = self.records.entry(history.request).or_default();
             is_urgent |= record.merge(history, now);
-            if let Some(survived) = self.survived.get(&history.request) {
-                record.clear_until(*survived, now);
+            if let Some(last_success) = self.successes.get(&history.request) {
+                record.clear_until(*last_success, now);
             }
         }
         self.update_holds(is_urgent, now)
     }
 
-    /// Decides anew which requests are withheld.
+    /// Recomputes which requests are withheld.
     fn update_holds(&mut self, is_urgent: bool, now: Millis) -> Change {
         self.expire(now);
         let mut change = Change {
@@ -250,26 +259,28 @@
         change
     }
 
-    /// Whether the request must be the cause of its crashes; see the module.
+    /// Returns whether the request is considered the cause of its crashes, and with which
+    /// confidence. The module documentation states the rules.
     fn confidence(&self, request: Fingerprint, record: &Record) -> Option<Confidence> {
-        let (own, runs) = (record.crashes(), record.runs());
+        let (crash_count, runs) = (record.crashes(), record.runs());
         let others = || self.records.iter().filter(|(it, _)| **it != request);
         let others_cut_off_by = |crash: &Crash| {
             let crash = *crash;
             others().filter_map(move |(_, other)| other.includes(&crash).then_some(other))
         };
-        // Crashes that another request explains better are not put down to this one.
-        let explains = |other: &Record| other.crashes() > own || other.is_withheld_earlier(record);
+        // Crashes that another request explains better are not attributed to this one.
+        let explains =
+            |other: &Record| other.crashes() > crash_count || other.is_withheld_earlier(record);
         let is_explained = |crash: &Crash| others_cut_off_by(crash).any(explains);
         let unexplained = record
             .crashes_excluding(|crash| is_explained(crash) || crash.pieces > MAX_EARLY_PIECES);
         let has_distinguishing_crash = record
             .all()
-            .any(|crash| others_cut_off_by(crash).all(|other| other.crashes() < own));
+            .any(|crash| others_cut_off_by(crash).all(|other| other.crashes() < crash_count));
         if unexplained >= CRASH_THRESHOLD && has_distinguishing_crash && !record.is_popular {
             return Some(Confidence::Certain);
         }
-        let is_rarer = |other: &Record| other.crashes() == own && other.runs() < runs;
+        let is_rarer = |other: &Record| other.crashes() == crash_count && other.runs() < runs;
         let unexplained = record.crashes_excluding(|crash| {
             is_explained(crash) || others_cut_off_by(crash).any(is_rarer)
         });
--- a/crates/core/src/quarantine/message.rs
+++ b/crates/core/src/quarantine/message.rs
@@ -1,5 +1,5 @@
-//! What entries tell one another of a request, with ages in place of moments, as each has a
-//! clock of its own.
+//! The crash history of a request as entries exchange it. Times are sent as ages, as each entry
+//! has its own clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,33 +9,33 @@
 use crate::quarantine::RETENTION;
 use crate::quarantine::record::{CountedCrash, MAX_CRASHES};
 
-/// What an entry knows of one request.
+/// What an entry knows about the crashes of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashHistory {
-    /// Which request.
+    /// The request.
     pub request: Fingerprint,
-    /// How often a run that ended well has ended the count of its crashes: what was counted
-    /// before is void.
+    /// How many times a completed run has reset the crash count. Crashes counted before the last
+    /// reset are void.
     pub acquittals: u32,
-    /// Whether a run of it has ended well at all.
+    /// Whether any run of the request is known to have completed.
     pub is_popular: bool,
-    /// Its crashes since.
+    /// The crashes since the last reset.
     pub crashes: Vec<ReportedCrash>,
 }
 
-/// What the platform keeps of a request that is withheld, for entries that start when all others
-/// are gone.
+/// The crash history of a withheld request as stored by the platform, for entries that start
+/// when no other entry is running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredHistory {
-    /// What was known of it.
+    /// The crash history.
     pub told: CrashHistory,
-    /// When that was, by the time of day: entries that are gone share no other clock with those
-    /// that come. A step of it makes a hold some seconds longer or shorter.
+    /// Wall-clock time of writing. An entry that starts later shares no other clock with the
+    /// writer. A clock step lengthens or shortens a hold by some seconds.
     pub written_unix: Millis,
 }
 
 impl StoredHistory {
-    /// What is known of it, as of this time of day.
+    /// Returns the crash history with its ages adjusted to the given wall-clock time.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
@@ -60,9 +60,9 @@
     pub fn history_at(&self, now_unix: Millis) -> CrashHistory {
         let since = now_unix - self.written_unix;
         let crashes = self.told.crashes.iter();
-        let crashes = crashes.map(|heard| ReportedCrash {
-            age: heard.age + since,
-            ..*heard
+        let crashes = crashes.map(|reported| ReportedCrash {
+            age: reported.age + since,
+            ..*reported
         });
         CrashHistory {
             crashes: crashes.collect(),
@@ -70,35 +70,40 @@
         }
     }
 
-    /// Whether it may be what an entry has written: its moments lie within what is remembered.
+    /// Returns whether the value is plausible: all times are within the retention period, and there
+    /// are not too many crashes.
     pub fn is_sound(&self) -> bool {
         let crashes = &self.told.crashes;
-        let is_recent = |heard: &ReportedCrash| heard.age <= RETENTION && heard.lasted <= RETENTION;
+        let is_recent =
+            |reported: &ReportedCrash| reported.age <= RETENTION && reported.lasted <= RETENTION;
         crashes.len() <= MAX_CRASHES && crashes.iter().all(is_recent)
     }
 
-    /// Whether it is forgotten by this time of day.
+    /// Returns whether all crashes have expired at the given wall-clock time.
     pub fn is_expired(&self, now_unix: Millis) -> bool {
-        let told = self.history_at(now_unix);
-        told.crashes.iter().all(|heard| heard.age >= RETENTION)
+        let history = self.history_at(now_unix);
+        history
+            .crashes
+            .iter()
+            .all(|reported| reported.age >= RETENTION)
     }
 }
 
-/// A crash, by how long ago it was.
+/// A crash, with its age instead of its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedCrash {
     endpoint: u32,
-    /// How long the endpoint had the request.
+    /// How long the request had been running on the endpoint.
     lasted: Millis,
     age: Millis,
-    /// How many pieces of the answer had come.
+    /// Number of pieces of the response received before the crash.
     pieces: u32,
-    /// How many runs of the request it cut off.
+    /// Number of runs of the request that the crash interrupted.
     runs: u32,
 }
 
 impl ReportedCrash {
-    /// As it is told now.
+    /// Converts a crash to the form in which it is sent.
     pub fn of(counted: &CountedCrash, now: Millis) -> Self {
         let CountedCrash { crash, runs } = counted;
         Self {
@@ -110,8 +115,8 @@
         }
     }
 
-    /// On the own clock.
-    pub fn counted(&self, now: Millis) -> CountedCrash {
+    /// Converts the received crash to local time.
+    pub fn localize(&self, now: Millis) -> CountedCrash {
         let at = now - self.age;
         let crash = Crash {
             endpoint: self.endpoint,
--- a/crates/core/src/quarantine/record.rs
+++ b/crates/core/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one request.
+//! The crash record of one request.
 
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
@@ -8,91 +8,92 @@
     UNCERTAIN_HOLD_DURATION,
 };
 
-/// The most crashes that are remembered of one request: those that withhold it for as long as
-/// it is remembered, and some.
+/// Maximum number of crashes stored per request: enough to withhold it for as long as its
+/// record is kept, plus a margin.
 pub const MAX_CRASHES: usize = 8;
-/// By how much later than it was a crash may seem that another entry has told of: messages are
-/// under way for so long.
+/// How much later than its actual time a crash reported by another entry may appear, due to the
+/// message delay.
 const MAX_MESSAGE_DELAY: Millis = Millis(30);
-/// By how many pieces the same place of an answer may differ: several events may come as one
-/// piece. Long streams have a hundred.
+/// How far apart two positions in a response, in pieces, may be to count as the same, as
+/// several events may arrive in one piece. Long streams have about a hundred pieces.
 const PIECES_TOLERANCE: u32 = 4;
-/// News of one crash that come by several ways differ by less than this; the same endpoint does
-/// not crash twice within it.
+/// Reports of one crash that arrive by different paths differ by less than this. An endpoint
+/// does not crash twice within this time.
 const DUPLICATE_WINDOW: Millis = Millis(2_000);
 
-/// A crash of an endpoint that had the request.
+/// A crash of an endpoint that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// Which life of which endpoint: a hash that is the same in all entries.
+    /// Identifies the endpoint and its incarnation: a hash that is the same at all entries.
     pub endpoint: u32,
-    /// When the request was sent to it.
+    /// When the request was sent to the endpoint.
     pub sent: Millis,
-    /// When it crashed.
+    /// When the endpoint crashed.
     pub at: Millis,
-    /// How many pieces of its answer had come by then.
+    /// Number of pieces of the response received before the crash.
     pub pieces: u32,
 }
 
-/// A crash, and how many runs of the request it cut off.
+/// A crash, and the number of runs of the request that it interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CountedCrash {
     /// The crash.
     pub crash: Crash,
-    /// The runs that are known of; one entry may have sent several, and others too.
+    /// The number of known runs. An entry may have sent several, as may other entries.
     pub runs: u32,
 }
 
 impl Crash {
-    /// Whether both came at the same place of the answer. What crashes endpoints does so there each
-    /// time; a stream that others cut off is cut off anywhere.
+    /// Returns whether both crashes occurred at the same position of the response. A request that
+    /// crashes endpoints does so at the same position each time, whereas unrelated crashes
+    /// interrupt a stream anywhere.
     fn is_at_same_position(&self, other: &Self) -> bool {
         self.pieces.abs_diff(other.pieces) <= PIECES_TOLERANCE
     }
 
     fn is_duplicate_of(&self, other: &Self) -> bool {
-        let apart = (self.at - other.at).max(other.at - self.at);
-        self.endpoint == other.endpoint && apart < DUPLICATE_WINDOW
+        let difference = (self.at - other.at).max(other.at - self.at);
+        self.endpoint == other.endpoint && difference < DUPLICATE_WINDOW
     }
 }
 
-/// Why a request is withheld.
+/// How confident the quarantine is that a withheld request caused its crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confidence {
-    /// It must be the cause of its crashes.
+    /// The request is considered the cause of its crashes.
     Certain,
-    /// Something else may be.
+    /// Another request, or chance, may be the cause.
     Uncertain,
 }
 
-/// That a request is withheld.
+/// The state of a withheld request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldState {
-    /// Since when.
+    /// When the hold began.
     pub since: Millis,
-    /// Why.
+    /// The confidence that the request is the cause.
     pub confidence: Confidence,
 }
 
-/// What is remembered of one request.
+/// The crash record of one request.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// The crashes since a run of it last ended well, the earliest first.
+    /// The crashes since the last completed run, earliest first.
     crashes: Vec<CountedCrash>,
-    /// How often a run that ended well has ended the count of crashes.
+    /// How many times a completed run has reset the crash count.
     acquittals: u32,
-    /// Whether a run of it has ended well at all, as far as is remembered.
+    /// Whether any run is known to have completed.
     pub is_popular: bool,
-    /// Whether it is withheld.
+    /// The hold state if the request is withheld.
     pub held: Option<HoldState>,
-    /// When something was last learnt.
+    /// When the record last changed.
     changed: Millis,
-    /// When other entries were last told.
+    /// When the record was last sent to other entries.
     last_sent: Millis,
 }
 
 impl Record {
-    /// Takes in that a run was cut off by a crash; gives back what [`Self::add`] does.
+    /// Records a run interrupted by a crash. Returns the same as [`Self::add`].
     pub fn record_run(&mut self, crash: Crash, now: Millis) -> bool {
         if let Some(known) = self.find(&crash) {
             known.runs += 1;
@@ -106,7 +107,7 @@
         known.find(|known| known.crash.is_duplicate_of(crash))
     }
 
-    /// Adds a crash; gives back whether there are now more in a row, and not the first.
+    /// Adds a crash. Returns whether the number of sequential crashes has increased beyond one.
     fn add(&mut self, counted: CountedCrash, now: Millis) -> bool {
         if let Some(known) = self.find(&counted.crash) {
             known.runs = known.runs.max(counted.runs);
@@ -120,29 +121,30 @@
         self.crashes() > before && before > 0
     }
 
-    /// Drops one crash of too many: the earliest of those that add nothing to the longest row, as
-    /// many may come in the time that one run of the request takes.
+    /// Removes one crash if there are too many: the earliest one that does not contribute to the
+    /// longest sequence. Many overlapping crashes may occur during a single run of the request.
     fn drop_excess_crash(&mut self) {
         if self.crashes.len() <= MAX_CRASHES {
             return;
         }
-        let length = |position: &&Crash| {
+        let length = |reference: &&Crash| {
             count_sequential(
                 self.all()
-                    .filter(|crash| crash.is_at_same_position(position)),
+                    .filter(|crash| crash.is_at_same_position(reference)),
             )
         };
-        let Some(position) = self.all().max_by_key(length).copied() else {
+        let Some(reference) = self.all().max_by_key(length).copied() else {
             return;
         };
         let mut sequence = CrashSequence::default();
         let is_excess =
-            |crash: &Crash| !(crash.is_at_same_position(&position) && sequence.accepts(crash));
+            |crash: &Crash| !(crash.is_at_same_position(&reference) && sequence.accepts(crash));
         let excess = self.all().position(is_excess);
         self.crashes.remove(excess.unwrap_or(0));
     }
 
-    /// Takes in that a run ended well at this moment: it was not the cause of crashes before.
+    /// Removes the crashes up to `moment`, when a run of the request completed: the request did not
+    /// cause them.
     pub fn clear_until(&mut self, moment: Millis, now: Millis) {
         self.is_popular = true;
         let before = self.crashes.len();
@@ -153,29 +155,32 @@
         }
     }
 
-    /// Takes in what another entry tells; gives back what [`Self::add`] does.
-    pub fn merge(&mut self, told: &CrashHistory, now: Millis) -> bool {
-        self.is_popular |= told.is_popular;
-        if told.acquittals < self.acquittals {
+    /// Merges a crash history from another entry. Returns the same as [`Self::add`].
+    pub fn merge(&mut self, history: &CrashHistory, now: Millis) -> bool {
+        self.is_popular |= history.is_popular;
+        if history.acquittals < self.acquittals {
             return false;
         }
-        if told.acquittals > self.acquittals {
-            self.acquittals = told.acquittals;
+        if history.acquittals > self.acquittals {
+            self.acquittals = history.acquittals;
             self.crashes.clear();
             self.changed = now;
         }
-        let crashes = told.crashes.iter().map(|heard| heard.counted(now));
+        let crashes = history
+            .crashes
+            .iter()
+            .map(|reported| reported.localize(now));
         let added = crashes.map(|counted| self.add(counted, now));
         added.fold(false, |any, added| any | added)
     }
 
-    /// Tells other entries.
+    /// Returns the crash history, and marks it as sent.
     pub fn send_history(&mut self, request: Fingerprint, now: Millis) -> CrashHistory {
         self.last_sent = now;
         self.history(request, now)
     }
 
-    /// What other entries are told.
+    /// Returns the crash history.
     pub fn history(&self, request: Fingerprint, now: Millis) -> CrashHistory {
         let crashes = self.crashes.iter();
         CrashHistory {
@@ -188,66 +193,66 @@
         }
     }
 
-    /// How many endpoints have crashed with it, one after the other and at the same place of its
-    /// answer: each was sent it after the one before had crashed.
+    /// Returns the number of sequential crashes at the same position of the response, where the
+    /// request was sent to each endpoint after the one before had crashed.
     pub fn crashes(&self) -> usize {
         self.crashes_excluding(|_| false)
     }
 
-    /// How many runs of it were cut off.
+    /// Returns the number of runs that were interrupted.
     pub fn runs(&self) -> u32 {
         let runs = self.crashes.iter().map(|counted| counted.runs);
         runs.fold(0, u32::saturating_add)
     }
 
-    /// The same without some of the crashes.
+    /// Returns the number of sequential crashes, leaving out those for which `explained` holds.
     pub fn crashes_excluding(&self, explained: impl Fn(&Crash) -> bool) -> usize {
         let counted = || self.all().filter(|crash| !explained(crash));
-        let rows = counted().map(|position| {
-            count_sequential(counted().filter(|crash| crash.is_at_same_position(position)))
+        let lengths = counted().map(|reference| {
+            count_sequential(counted().filter(|crash| crash.is_at_same_position(reference)))
         });
-        rows.max().unwrap_or(0)
+        lengths.max().unwrap_or(0)
     }
 
-    /// All its crashes.
+    /// Iterates over all crashes, earliest first.
     pub fn all(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.iter().map(|counted| &counted.crash)
     }
 
-    /// Whether it was known for a cause before another one.
+    /// Returns whether the request was withheld before another one was.
     pub fn is_withheld_earlier(&self, other: &Self) -> bool {
         let held = self.held.map(|held| held.since);
         let other = other.held.map(|held| held.since);
         held.is_some_and(|held| other.is_none_or(|other| held < other))
     }
 
-    /// Whether it was cut off by the same crash.
+    /// Returns whether the crash interrupted this request.
     pub fn includes(&self, crash: &Crash) -> bool {
         self.all().any(|own| own.is_duplicate_of(crash))
     }
 
-    /// When something was last learnt.
+    /// Returns when the record last changed.
     pub fn changed(&self) -> Millis {
         self.changed
     }
 
-    /// When other entries were last told.
+    /// Returns when the record was last sent to other entries.
     pub fn last_sent(&self) -> Millis {
         self.last_sent
     }
 
-    /// When an endpoint last crashed with it, or something was learnt.
+    /// Returns the time of the last crash or the last change, whichever is later.
     pub fn last(&self) -> Millis {
         let last = self.all().last().map_or(Millis::ZERO, |crash| crash.at);
         last.max(self.changed)
     }
 
-    /// What is remembered longest.
+    /// Returns the rank of the record for eviction. Records with the lowest rank are removed first.
     pub fn eviction_rank(&self) -> (bool, usize, Millis) {
         (self.held.is_some(), self.crashes(), self.last())
     }
 
-    /// For how long it is withheld, if it is.
+    /// Returns the hold if the request is withheld. It may have expired.
     pub fn hold(&self) -> Option<Hold> {
         let (needed, span) = match self.held?.confidence {
             Confidence::Certain => (CRASH_THRESHOLD, HOLD_DURATION),
@@ -269,21 +274,21 @@
     }
 }
 
-/// How many of these crashes there are of which each began after the one before: as many as can
-/// be, which is by taking the one that ends first.
+/// Returns the length of the longest sequence of crashes in which each request was sent after
+/// the crash before. Accepting the crash that comes first each time gives the longest sequence.
 fn count_sequential<'a>(crashes: impl Iterator<Item = &'a Crash>) -> usize {
     let mut sequence = CrashSequence::default();
     crashes.filter(|crash| sequence.accepts(crash)).count()
 }
 
-/// Crashes of which each began after the one before.
+/// A sequence of crashes in which each request was sent after the crash before.
 #[derive(Default)]
 struct CrashSequence {
     last: Option<Millis>,
 }
 
 impl CrashSequence {
-    /// Takes the next crash, if it belongs to the row.
+    /// Adds a crash if it continues the sequence, and returns whether it did.
     fn accepts(&mut self, crash: &Crash) -> bool {
         let is_next = self.last.is_none_or(|last| is_after(crash, last));
         if is_next {
@@ -293,10 +298,12 @@
     }
 }
 
-/// Whether the request was sent after the crash before. Where it seems that it was sent a little
-/// sooner, two endpoints that crash at the same moment would look so too.
+/// Returns whether the request was sent after the previous crash. A reported crash may appear
+/// up to `MAX_MESSAGE_DELAY` late, so a request that appears to be sent slightly before it is
+/// accepted too, but only if its crash came distinctly later: two endpoints that crash at the
+/// same moment look alike otherwise.
 fn is_after(crash: &Crash, last: Millis) -> bool {
-    let seems_after = crash.sent + MAX_MESSAGE_DELAY >= last
+    let is_after_with_delay = crash.sent + MAX_MESSAGE_DELAY >= last
         && crash.at >= last + MAX_MESSAGE_DELAY + MAX_MESSAGE_DELAY;
-    crash.sent >= last || seems_after
+    crash.sent >= last || is_after_with_delay
 }
--- a/crates/core/tests/quarantine/cases.rs
+++ b/crates/core/tests/quarantine/cases.rs
@@ -1,4 +1,4 @@
-//! One entry, or two, and a few crashes.
+//! Tests with one or two entries and a few crashes.
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
@@ -9,7 +9,7 @@
 
 use super::{crash, request};
 
-/// A quarantine in which this request had these crashes.
+/// Returns a quarantine that has recorded these crashes of one request, and the request.
 fn after(crashes: &[Crash]) -> (Quarantine, Fingerprint) {
     let mut quarantine = Quarantine::default();
     let one = request("one");
@@ -19,7 +19,7 @@
     (quarantine, one)
 }
 
-/// So many crashes in a row, one a second.
+/// Returns `count` sequential crashes, one per second.
 fn sequential_crashes(count: usize) -> Vec<Crash> {
     let endpoints = 1..=u32::try_from(count).unwrap();
     endpoints
@@ -27,7 +27,7 @@
         .collect()
 }
 
-/// Crashes in a row, after so many pieces of the answer.
+/// Returns sequential crashes, each after the given number of pieces of the response.
 fn at_positions<const COUNT: usize>(pieces: [u32; COUNT]) -> Vec<Crash> {
     let crashes = sequential_crashes(COUNT).into_iter().zip(pieces);
     crashes
@@ -54,10 +54,7 @@
 #[case::at_once_and_then_two(
     &[crash(1, 1_000), crash(2, 1_000), crash(3, 2_000), crash(4, 3_000)], true
 )]
-fn what_crashes_one_endpoint_after_another_is_withheld(
-    #[case] crashes: &[Crash],
-    #[case] is_held: bool,
-) {
+fn sequential_crashes_withhold_a_request(#[case] crashes: &[Crash], #[case] is_held: bool) {
     let (quarantine, one) = after(crashes);
     assert_eq!(quarantine.hold(one, Millis(9_000)).is_some(), is_held);
     assert_eq!(
@@ -66,10 +63,11 @@
     );
 }
 
-/// Many crashes come while one run of the request takes its time: no three in a row are among
-/// any eight that follow one another.
+/// Guards against dropping the crashes that form a sequence when the record is full. One run
+/// takes 1 s and a crash comes every 100 ms, so no eight consecutive crashes contain three
+/// sequential ones.
 #[test]
-fn many_overlapping_crashes_do_not_push_out_the_row() {
+fn overlapping_crashes_do_not_evict_sequential_ones() {
     let crashes: Vec<_> = (1..=30)
         .map(|it| Crash {
             sent: Millis(u64::from(it) * 100),
@@ -83,7 +81,7 @@
 }
 
 #[test]
-fn a_run_that_ends_well_ends_the_count() {
+fn a_completed_run_resets_the_count() {
     let (mut quarantine, one) = after(&sequential_crashes(2));
     quarantine.record_success(one, Millis(2_500));
     quarantine.record_crash(one, crash(3, 3_000), Millis(3_000));
@@ -93,7 +91,7 @@
 #[rstest]
 #[case::popular(true, UNCERTAIN_CRASH_THRESHOLD)]
 #[case::unknown(false, CRASH_THRESHOLD)]
-fn a_request_that_ended_well_lately_needs_more_crashes(
+fn a_recently_completed_request_needs_more_crashes(
     #[case] is_popular: bool,
     #[case] needed: usize,
 ) {
@@ -109,9 +107,10 @@
     assert!(quarantine.hold(one, Millis(9_000)).is_some());
 }
 
-/// Both had the same endpoints, until the next crash tells which of them is the cause.
+/// Two requests run on the same endpoints until a further crash shows which of them is the
+/// cause.
 #[test]
-fn what_only_stood_beside_is_not_withheld() {
+fn requests_beside_the_cause_are_not_withheld() {
     let (one, other) = (request("one"), request("other"));
     let mut quarantine = Quarantine::default();
     for crash in sequential_crashes(CRASH_THRESHOLD) {
@@ -125,8 +124,8 @@
     assert_eq!(quarantine.hold(other, last.at), None);
 }
 
-/// Of two that crash endpoints, always together, the one is withheld first, and the other after
-/// as many crashes without it.
+/// Two requests that each crash endpoints always run together. One is withheld first, and the
+/// other after as many crashes without it.
 #[test]
 fn two_causes_do_not_hide_one_another() {
     let requests = [request("one"), request("other")];
@@ -143,17 +142,17 @@
     }
 }
 
-/// One crash at each entry, told by one to the next, whose clocks differ.
+/// Each entry sees one crash and sends its history to the next one, whose clock differs.
 #[test]
-fn entries_add_up_what_each_has_seen() {
+fn entries_combine_their_crash_histories() {
     let one = request("one");
-    let mut told = (Vec::new(), Millis::ZERO);
+    let mut histories = (Vec::new(), Millis::ZERO);
     let mut withheld = Vec::new();
     for (at, seen) in sequential_crashes(CRASH_THRESHOLD).into_iter().enumerate() {
         let ahead = Millis(500_000 * (at as u64 + 1));
         let now = seen.at + ahead;
         let mut entry = Quarantine::default();
-        entry.merge_histories(&told.0, told.1 + ahead);
+        entry.merge_histories(&histories.0, histories.1 + ahead);
         let crash = Crash {
             sent: seen.sent + ahead,
             at: now,
@@ -162,14 +161,15 @@
         let change = entry.record_crash(one, crash, now);
         assert_eq!(change.is_urgent, at > 0);
         withheld = change.withheld;
-        told = (entry.histories_to_send(9, now), seen.at);
+        histories = (entry.histories_to_send(9, now), seen.at);
     }
     assert_eq!(withheld, [one]);
 }
 
-/// An entry that has not heard of the run that ended well does not bring the crashes back.
+/// Guards against restoring cleared crashes from an entry that has not yet heard of the
+/// completed run.
 #[test]
-fn old_news_do_not_undo_a_run_that_ended_well() {
+fn outdated_histories_do_not_restore_cleared_crashes() {
     let (mut first, one) = after(&sequential_crashes(2));
     let old = first.histories_to_send(9, Millis(2_100));
     let mut second = Quarantine::default();
@@ -177,15 +177,16 @@
     second.record_success(one, Millis(2_200));
     second.merge_histories(&old, Millis(2_300));
     assert_eq!(second.histories_to_send(9, Millis(2_300))[0].crashes, []);
-    // The other way: the entry with the crashes hears of the run.
+    // In the other direction, the entry with the crashes learns of the completed run.
     first.merge_histories(&second.histories_to_send(9, Millis(2_400)), Millis(2_400));
     first.record_crash(one, crash(3, 3_000), Millis(3_000));
     assert_eq!(first.hold(one, Millis(3_000)), None);
 }
 
-/// A run that ended well where the crashes were not known yet counts as well.
+/// Guards against ignoring a completed run that was recorded before its entry knew of the
+/// crashes.
 #[test]
-fn a_run_that_ended_well_after_crashes_that_are_told_later_ends_the_count() {
+fn a_completed_run_clears_crashes_received_later() {
     let (mut first, one) = after(&sequential_crashes(2));
     let mut second = Quarantine::default();
     second.record_success(one, Millis(2_050));
@@ -193,23 +194,23 @@
     assert_eq!(second.histories_to_send(9, Millis(2_100))[0].crashes, []);
 }
 
-/// Of crashes that are told together, those before a run that ended well are void, and the one
-/// after it counts.
+/// Of crashes received together, those before a completed run are void and the one after it
+/// counts.
 #[test]
-fn a_run_that_ended_well_between_crashes_voids_those_before() {
+fn a_completed_run_clears_only_earlier_crashes() {
     let (mut first, one) = after(&sequential_crashes(CRASH_THRESHOLD));
     let mut second = Quarantine::default();
     second.record_success(one, Millis(2_050));
     second.merge_histories(&first.histories_to_send(9, Millis(3_100)), Millis(3_100));
     assert_eq!(second.hold(one, Millis(3_100)), None);
-    let told = second.histories_to_send(9, Millis(3_100));
-    assert_eq!(told[0].crashes.len(), 1);
-    first.merge_histories(&told, Millis(3_200));
+    let histories = second.histories_to_send(9, Millis(3_100));
+    assert_eq!(histories[0].crashes.len(), 1);
+    first.merge_histories(&histories, Millis(3_200));
     assert_eq!(first.hold(one, Millis(3_200)), None);
 }
 
 #[test]
-fn a_hold_ends_doubles_and_is_the_last_in_the_end() {
+fn hold_durations_double_until_trials_are_exhausted() {
     let (mut quarantine, one) = after(&sequential_crashes(CRASH_THRESHOLD));
     let mut span = HOLD_DURATION;
     for endpoint in 10..10 + MAX_TRIALS {
@@ -232,17 +233,17 @@
 }
 
 #[test]
-fn a_trial_that_ends_well_releases() {
+fn a_completed_trial_releases_the_request() {
     let (mut quarantine, one) = after(&sequential_crashes(CRASH_THRESHOLD));
     let change = quarantine.record_success(one, Millis(700_000));
     assert_eq!(change.released, [one]);
     assert_eq!(quarantine.hold(one, Millis(9_000)), None);
 }
 
-/// A flood of different requests with one crash each takes bounded memory, and pushes out
-/// nothing that is withheld.
+/// Many different requests with one crash each use a bounded amount of memory and evict no
+/// withheld request.
 #[test]
-fn a_flood_pushes_out_nothing_that_is_withheld() {
+fn eviction_keeps_withheld_requests() {
     let (mut quarantine, one) = after(&sequential_crashes(CRASH_THRESHOLD));
     for number in 0..5_000 {
         let at = Millis(4_000 + number);
@@ -251,38 +252,38 @@
         quarantine.record_success(request(&format!("well {number}")), at);
     }
     assert!(quarantine.hold(one, Millis(10_000)).is_some());
-    let told = quarantine.histories_to_send(usize::MAX, Millis(9_000));
-    assert_eq!(told.len(), 1_024);
-    assert!(told.iter().any(|told| told.request == one));
+    let histories = quarantine.histories_to_send(usize::MAX, Millis(9_000));
+    assert_eq!(histories.len(), 1_024);
+    assert!(histories.iter().any(|history| history.request == one));
 }
 
-/// News are told with the most crashes first, and all of them in turns.
+/// The history with the most crashes is sent in each round, and all others are sent in turn.
 #[test]
-fn all_news_are_told_in_turns() {
+fn histories_are_sent_in_turns() {
     let (mut quarantine, one) = after(&sequential_crashes(2));
     let others: Vec<_> = (0..6).map(|it| request(&it.to_string())).collect();
     for other in &others {
         quarantine.record_crash(*other, crash(2, 2_000), Millis(2_000));
     }
-    let mut heard = Vec::new();
+    let mut sent = Vec::new();
     for round in 0..3 {
-        let told = quarantine.histories_to_send(3, Millis(2_100 + round));
-        assert_eq!(told[0].request, one);
-        heard.extend(told.into_iter().skip(1).map(|it| it.request));
+        let histories = quarantine.histories_to_send(3, Millis(2_100 + round));
+        assert_eq!(histories[0].request, one);
+        sent.extend(histories.into_iter().skip(1).map(|it| it.request));
     }
-    heard.sort();
+    sent.sort();
     let mut others = others;
     others.sort();
-    assert_eq!(heard, others);
+    assert_eq!(sent, others);
 }
 
-/// What one request takes in a message, with one crash and with three, in bytes.
+/// The encoded size of a history in bytes, with one crash and with three.
 #[test]
 fn what_is_told_is_short() {
     let bytes = |count: usize| {
         let (mut quarantine, _) = after(&sequential_crashes(count));
-        let told = quarantine.histories_to_send(1, Millis(count as u64 * 1_000 + 500));
-        postcard::to_stdvec(&told[0]).unwrap().len()
+        let histories = quarantine.histories_to_send(1, Millis(count as u64 * 1_000 + 500));
+        postcard::to_stdvec(&histories[0]).unwrap().len()
     };
     insta::assert_debug_snapshot!((bytes(1), bytes(3)));
 }
--- a/crates/core/tests/quarantine/fleet.rs
+++ b/crates/core/tests/quarantine/fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet: entries that tell one another in rounds, endpoints that crash and come
-//! back, a caller whose request crashes them, and callers whose requests do not.
+//! A simulated fleet: entries that exchange crash histories in rounds, endpoints that crash and
+//! restart, a caller whose request crashes them, and callers whose requests do not.
 
 use std::collections::BTreeSet;
 
@@ -14,37 +14,38 @@
 
 use super::request;
 
-/// The time between two steps, and how many there are.
+/// The time between two steps, and the number of steps.
 const STEP_MS: u64 = 10;
 const STEPS: u64 = 1_600;
-/// As between entries: how many steps there are between two rounds, which entries begin at
-/// different ones, and whom each one asks.
+/// The gossip schedule of entries: the number of steps between two rounds of an entry, which
+/// starts at a different step for each entry, and the number of entries contacted per round.
 const STEPS_PER_ROUND: usize = 30;
 const GOSSIP_FANOUT: usize = 6;
-/// The time between two pieces of an answer.
+/// The time between two pieces of a response.
 const PIECE_INTERVAL_MS: u64 = 30;
-/// So long after its third crash a request may reach this many endpoints more.
+/// Later than this after its third crash, a request may reach at most `MAX_LATE_ARRIVALS` more
+/// endpoints.
 const DETECTION_BOUND_MS: u64 = 3_000;
 const MAX_LATE_ARRIVALS: usize = 3;
 
-/// What happens in a fleet.
+/// The parameters of a simulation; all times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     entries: usize,
     endpoints: usize,
-    /// How long an endpoint is gone after a crash.
-    down: u64,
-    /// Between two sends of the request that crashes endpoints; none if nobody sends it.
-    pause: Option<u64>,
-    /// How long it is at an endpoint before that crashes.
-    before: u64,
-    /// Between two crashes of endpoints by themselves; none if there are none.
-    by_itself: Option<u64>,
-    /// How many endpoints crash at the same moment then.
-    together: usize,
+    /// How long an endpoint is down after a crash.
+    downtime: u64,
+    /// The interval between sends of the request that crashes endpoints; `None` if it is not sent.
+    resend_interval: Option<u64>,
+    /// How long that request runs on an endpoint before the endpoint crashes.
+    time_to_crash: u64,
+    /// The interval between crashes that no request causes; `None` if there are none.
+    crash_interval: Option<u64>,
+    /// The number of endpoints that crash at the same time in such a crash.
+    simultaneous: usize,
     /// How long other requests run.
     run: u64,
-    /// Whether callers send again what a crash has cut off, again and again.
+    /// Whether callers resend each request that a crash interrupted.
     resends: bool,
 }
 
@@ -58,8 +59,8 @@
 
 #[derive(Default)]
 struct Endpoint {
-    life: u32,
-    back: u64,
+    incarnation: u32,
+    up_at: u64,
     runs: Vec<Run>,
 }
 
@@ -71,16 +72,16 @@
     endpoints: Vec<Endpoint>,
     fatal: Fingerprint,
     popular: Fingerprint,
-    /// When the fatal request reached endpoints, and when these crashed.
+    /// When the fatal request reached endpoints, and when it crashed them.
     arrivals: Vec<u64>,
     crashes: Vec<u64>,
-    /// Other requests that were withheld.
+    /// The number of sends of other requests that were refused by a hold.
     wrongly_withheld: usize,
     served: usize,
-    asked: usize,
+    attempted: usize,
     urgent: Vec<usize>,
-    /// What callers send again.
-    again: Vec<Fingerprint>,
+    /// Interrupted requests that callers resend at the next step.
+    resend_queue: Vec<Fingerprint>,
 }
 
 impl Simulation {
@@ -101,9 +102,9 @@
             crashes: Vec::new(),
             wrongly_withheld: 0,
             served: 0,
-            asked: 0,
+            attempted: 0,
             urgent: Vec::new(),
-            again: Vec::new(),
+            resend_queue: Vec::new(),
         }
     }
 
@@ -117,19 +118,19 @@
     }
 
     fn step(&mut self) {
-        if self.is_due(self.scenario.pause) {
+        if self.is_due(self.scenario.resend_interval) {
             self.send(self.fatal);
         }
-        // One popular request, and one that is sent twice, like a caller that comes back.
+        // One popular request, and one that is sent twice, as by a caller that retries.
         self.send(self.popular);
         let number = self.now / STEP_MS / 2;
         self.send(request(&format!("seldom {number}")));
-        for request in std::mem::take(&mut self.again) {
+        for request in std::mem::take(&mut self.resend_queue) {
             self.send(request);
         }
         self.end_runs();
-        if self.is_due(self.scenario.by_itself) {
-            for _ in 0..self.scenario.together {
+        if self.is_due(self.scenario.crash_interval) {
+            for _ in 0..self.scenario.simultaneous {
                 self.crash_random_endpoint();
             }
         }
@@ -144,21 +145,21 @@
         let entry = self.random.random_range(0..self.entries.len());
         let now = Millis(self.now);
         let is_fatal = request == self.fatal;
-        self.asked += usize::from(!is_fatal);
+        self.attempted += usize::from(!is_fatal);
         if self.entries[entry].hold(request, now).is_some() {
             self.wrongly_withheld += usize::from(!is_fatal);
             return;
         }
         let now = self.now;
-        let living = self.endpoints.iter_mut().filter(|it| it.back <= now);
-        let Some(endpoint) = living.choose(&mut self.random) else {
+        let running = self.endpoints.iter_mut().filter(|it| it.up_at <= now);
+        let Some(endpoint) = running.choose(&mut self.random) else {
             return;
         };
         if is_fatal {
             self.arrivals.push(self.now);
         }
         let run = if is_fatal {
-            self.scenario.before
+            self.scenario.time_to_crash
         } else {
             self.scenario.run
         };
@@ -193,21 +194,21 @@
     fn crash_random_endpoint(&mut self) {
         let now = self.now;
         let all = self.endpoints.iter().enumerate();
-        let living = all.filter(|(_, it)| it.back <= now).map(|(at, _)| at);
-        if let Some(at) = living.choose(&mut self.random) {
+        let running = all.filter(|(_, it)| it.up_at <= now).map(|(at, _)| at);
+        if let Some(at) = running.choose(&mut self.random) {
             self.crash(at);
         }
     }
 
     fn crash(&mut self, at: usize) {
         let endpoint = &mut self.endpoints[at];
-        let life = endpoint.life * 1_000 + u32::try_from(at).unwrap();
-        endpoint.life += 1;
-        endpoint.back = self.now + self.scenario.down;
+        let incarnation = endpoint.incarnation * 1_000 + u32::try_from(at).unwrap();
+        endpoint.incarnation += 1;
+        endpoint.up_at = self.now + self.scenario.downtime;
         let now = Millis(self.now);
         for run in std::mem::take(&mut endpoint.runs) {
             let crash = Crash {
-                endpoint: life,
+                endpoint: incarnation,
                 sent: Millis(run.sent),
                 at: now,
                 pieces: if run.request == self.fatal {
@@ -221,40 +222,41 @@
                 self.urgent.push(run.entry);
             }
             if self.scenario.resends && run.request != self.fatal {
-                self.again.push(run.request);
+                self.resend_queue.push(run.request);
             }
         }
     }
 
-    /// Rounds of messages, in turns and at once where there is something urgent.
+    /// Runs the gossip rounds that are due, and immediate ones for urgent changes.
     fn gossip(&mut self) {
         let count = self.entries.len();
         let step = usize::try_from(self.now / STEP_MS).unwrap();
-        let in_turn = (0..count).filter(|entry| entry % STEPS_PER_ROUND == step % STEPS_PER_ROUND);
-        let mut due: BTreeSet<usize> = in_turn.collect();
+        let scheduled =
+            (0..count).filter(|entry| entry % STEPS_PER_ROUND == step % STEPS_PER_ROUND);
+        let mut due: BTreeSet<usize> = scheduled.collect();
         due.extend(std::mem::take(&mut self.urgent));
         for entry in due {
             let others = (0..count).filter(|it| *it != entry);
-            let asked = others.choose_multiple(&mut self.random, GOSSIP_FANOUT);
-            for other in asked {
-                let told = self.entries[entry].histories_to_send(12, Millis(self.now));
-                self.receive(other, &told);
-                let told = self.entries[other].histories_to_send(12, Millis(self.now));
-                self.receive(entry, &told);
+            let peers = others.choose_multiple(&mut self.random, GOSSIP_FANOUT);
+            for other in peers {
+                let histories = self.entries[entry].histories_to_send(12, Millis(self.now));
+                self.receive(other, &histories);
+                let histories = self.entries[other].histories_to_send(12, Millis(self.now));
+                self.receive(entry, &histories);
             }
         }
     }
 
-    fn receive(&mut self, entry: usize, told: &[CrashHistory]) {
+    fn receive(&mut self, entry: usize, histories: &[CrashHistory]) {
         if self.entries[entry]
-            .merge_histories(told, Millis(self.now))
+            .merge_histories(histories, Millis(self.now))
             .is_urgent
         {
             self.urgent.push(entry);
         }
     }
 
-    fn late(&self) -> usize {
+    fn late_arrivals(&self) -> usize {
         let Some(third) = self.crashes.get(2) else {
             return 0;
         };
@@ -265,30 +267,35 @@
     }
 }
 
-/// Nobody sends anything that crashes endpoints; they crash by themselves.
-fn by_itself(entries: usize, endpoints: usize, period: u64, together: usize) -> Scenario {
+/// A scenario without a fatal request, in which endpoints crash for other reasons.
+fn spontaneous_crashes(
+    entries: usize,
+    endpoints: usize,
+    period: u64,
+    simultaneous: usize,
+) -> Scenario {
     Scenario {
         entries,
         endpoints,
-        down: 800,
-        pause: None,
-        before: 0,
-        by_itself: Some(period),
-        together,
+        downtime: 800,
+        resend_interval: None,
+        time_to_crash: 0,
+        crash_interval: Some(period),
+        simultaneous,
         run: 100,
         resends: false,
     }
 }
 
-fn fatal(entries: usize, endpoints: usize, pause: u64, before: u64) -> Scenario {
+fn fatal(entries: usize, endpoints: usize, resend_interval: u64, time_to_crash: u64) -> Scenario {
     Scenario {
         entries,
         endpoints,
-        down: 3_000,
-        pause: Some(pause),
-        before,
-        by_itself: None,
-        together: 0,
+        downtime: 3_000,
+        resend_interval: Some(resend_interval),
+        time_to_crash,
+        crash_interval: None,
+        simultaneous: 0,
         run: 100,
         resends: false,
     }
@@ -296,24 +303,40 @@
 
 fn scenarios() -> impl Strategy<Value = Scenario> {
     let sizes = prop_oneof![Just((2, 9)), Just((6, 9)), Just((30, 40)), Just((90, 120))];
-    let pause = (5_u64..100).prop_map(|it| it * STEP_MS);
-    let before = (1_u64..60).prop_map(|it| it * STEP_MS);
-    let by_itself = prop_oneof![Just(None), Just(Some(350)), Just(Some(1_000))];
+    let resend_interval = (5_u64..100).prop_map(|it| it * STEP_MS);
+    let time_to_crash = (1_u64..60).prop_map(|it| it * STEP_MS);
+    let crash_interval = prop_oneof![Just(None), Just(Some(350)), Just(Some(1_000))];
     let run = (1_u64..60).prop_map(|it| it * STEP_MS);
-    (sizes, pause, before, by_itself, 1_usize..4, run).prop_map(
-        |((entries, endpoints), pause, before, by_itself, together, run)| Scenario {
-            by_itself: by_itself.map(|period: u64| period * together as u64),
-            together,
-            run,
-            // Where endpoints crash faster than they come back no run ends well, and none can
-            // show that it is not the cause.
-            down: if by_itself.is_some() { 800 } else { 3_000 },
-            ..fatal(entries, endpoints, pause, before)
-        },
+    (
+        sizes,
+        resend_interval,
+        time_to_crash,
+        crash_interval,
+        1_usize..4,
+        run,
     )
+        .prop_map(
+            |(
+                (entries, endpoints),
+                resend_interval,
+                time_to_crash,
+                crash_interval,
+                simultaneous,
+                run,
+            )| Scenario {
+                crash_interval: crash_interval.map(|period: u64| period * simultaneous as u64),
+                simultaneous,
+                run,
+                // If endpoints crash faster than they restart, no run completes and no
+                // request can be cleared.
+                downtime: if crash_interval.is_some() { 800 } else { 3_000 },
+                ..fatal(entries, endpoints, resend_interval, time_to_crash)
+            },
+        )
 }
 
-/// The same worlds in each run; more of them by `PROPTEST_CASES`.
+/// Uses a fixed seed, so that each run tests the same scenarios. `PROPTEST_CASES` sets how
+/// many.
 fn config() -> ProptestConfig {
     let default = ProptestConfig::default();
     ProptestConfig {
@@ -323,7 +346,7 @@
             24
         },
         rng_seed: RngSeed::Fixed(7),
-        // A smaller world is another one, and takes as long.
+        // A shrunk scenario is a different one and takes as long to run.
         max_shrink_iters: 0,
         failure_persistence: None,
         ..default
@@ -336,7 +359,12 @@
     #[test]
     fn a_request_that_crashes_endpoints_reaches_few_more(scenario in scenarios(), seed: u64) {
         let sim = Simulation::run(scenario, seed);
-        prop_assert!(sim.late() <= MAX_LATE_ARRIVALS, "{} late of {}", sim.late(), sim.arrivals.len());
+        prop_assert!(
+            sim.late_arrivals() <= MAX_LATE_ARRIVALS,
+            "{} late of {}",
+            sim.late_arrivals(),
+            sim.arrivals.len()
+        );
         prop_assert_eq!(sim.wrongly_withheld, 0);
     }
 
@@ -345,9 +373,9 @@
         scenario in scenarios(), period in 7_u64..20, seed: u64
     ) {
         let scenario = Scenario {
-            pause: None,
-            down: 800,
-            by_itself: Some(period * 50 * scenario.together as u64),
+            resend_interval: None,
+            downtime: 800,
+            crash_interval: Some(period * 50 * scenario.simultaneous as u64),
             ..scenario
         };
         let sim = Simulation::run(scenario, seed);
@@ -355,35 +383,36 @@
     }
 }
 
-/// Long streams are cut off by many crashes, and their callers send them again at once. Each was cut
-/// off at another place: what crashes endpoints does so at the same one each time.
+/// Long streams are interrupted by many crashes, and their callers resend them at once. Each
+/// interruption is at a different position, whereas a request that crashes endpoints does so at
+/// the same one.
 #[test]
 fn long_streams_that_crashes_cut_off_are_put_down_to_no_request() {
     for seed in 0..6 {
         let scenario = Scenario {
             run: 3_000,
             resends: true,
-            ..by_itself(6, 9, 1_000, 1)
+            ..spontaneous_crashes(6, 9, 1_000, 1)
         };
         let sim = Simulation::run(scenario, seed);
         assert_eq!(sim.wrongly_withheld, 0, "seed {seed}");
     }
 }
 
-/// How many endpoints one request takes down, and what is left for the others.
+/// How many endpoints one request takes down, and which share of the other requests is served.
 #[test]
 fn figures() {
     let mut lines = Vec::new();
     let sizes = [(2, 2), (6, 9), (90, 120), (295, 400)];
     for (entries, endpoints) in sizes {
-        for pause in [100, 400] {
-            let sim = Simulation::run(fatal(entries, endpoints, pause, 300), 1);
+        for resend_interval in [100, 400] {
+            let sim = Simulation::run(fatal(entries, endpoints, resend_interval, 300), 1);
             lines.push(line(
-                &format!("{entries}:{endpoints} each {pause} ms"),
+                &format!("{entries}:{endpoints} each {resend_interval} ms"),
                 &sim,
             ));
         }
-        let sim = Simulation::run(by_itself(entries, endpoints, 350, 1), 1);
+        let sim = Simulation::run(spontaneous_crashes(entries, endpoints, 350, 1), 1);
         lines.push(line(&format!("{entries}:{endpoints} by itself"), &sim));
     }
     insta::assert_snapshot!(lines.join("\n"));
@@ -394,8 +423,8 @@
         "{scenario}: {} crashes by the request, {} arrivals, {} late, {} others withheld, {:.3} served",
         sim.crashes.len(),
         sim.arrivals.len(),
-        sim.late(),
+        sim.late_arrivals(),
         sim.wrongly_withheld,
-        sim.served as f64 / sim.asked as f64,
+        sim.served as f64 / sim.attempted as f64,
     )
 }
--- a/crates/core/tests/quarantine/main.rs
+++ b/crates/core/tests/quarantine/main.rs
@@ -1,4 +1,4 @@
-//! Which requests are withheld since they crash the endpoints that run them.
+//! Tests of which requests are withheld because they crash the endpoints that run them.
 
 mod cases;
 mod fleet;
@@ -7,7 +7,7 @@
 use woodgap_core::fingerprint::{Fingerprint, Request};
 use woodgap_core::quarantine::Crash;
 
-/// The request with this body.
+/// Returns the fingerprint of a request with this body.
 fn request(body: &str) -> Fingerprint {
     Fingerprint::of(&Request {
         caller: "murphy",
@@ -18,7 +18,7 @@
     })
 }
 
-/// A crash of this endpoint at this moment, which had the request for 100 ms.
+/// A crash of an endpoint at this time, to which the request had been sent 100 ms earlier.
 fn crash(endpoint: u32, at: u64) -> Crash {
     Crash {
         endpoint,
