--- a/crates/core/src/membership/detector.rs
+++ b/crates/core/src/membership/detector.rs
@@ -1,8 +1,9 @@
-//! The failure detector: probes a few members at a time, directly and through
-//! others, and passes news on with its probes (the SWIM family of protocols).
+//! A failure detector in the style of SWIM. It probes a few members at a time, directly and
+//! through other members, and piggybacks membership updates on its probes.
 //!
-//! What one entry sends does not grow with the fleet: one probe a period, and a
-//! bounded number of pieces of news with each.
+//! The traffic per entry does not grow with the fleet: an entry starts one probe per period,
+//! plus one to a suspected member if there is any, and each carries a bounded number of
+//! updates.
 
 mod gossip;
 mod greetings;
@@ -16,38 +17,37 @@
 use crate::clock::Millis;
 use crate::control::action::Action;
 use crate::instance::Instance;
-use crate::membership::{Change, Figures, Member, Members, Message, Standing};
+use crate::membership::{Change, Heartbeat, Member, Members, Message, Standing};
 use crate::message;
 use crate::name;
 use gossip::Gossip;
 use greetings::Greetings;
 use probes::{Expired, Probes};
 
-/// How often a member is probed. At seven entries each sees every other within
-/// 1.2 s, and each is probed by someone every 200 ms.
+/// The interval between probes. In a fleet of seven entries each entry probes every other one
+/// within 1.2 s, and each is probed by some entry every 200 ms.
 pub const PROBE_PERIOD: Millis = Millis(200);
-/// How long a suspected member has to say that it lives. With two missed
-/// timeouts before it, a killed entry is held to be gone within 2 to 3 s.
-pub const SUSPICION: Millis = Millis(1_500);
-/// A longer pause between ticks means that this entry itself did not run: it
-/// must not hold others' silence during it against them.
-const STALL: Millis = Millis(500);
-/// How long a gone member is remembered: longer than the longest partition that
-/// is planned for, so that both sides find one another after it.
-const GONE_KEPT: Millis = Millis::from_secs(2 * 60 * 60);
-/// The most members that are kept, gone ones included: several times the
-/// largest fleet planned for.
-const MOST_MEMBERS: usize = 2_048;
+/// How long a suspected member has to refute the suspicion. Together with the two probe
+/// timeouts before it, a killed entry is declared gone within 2 to 3 s.
+pub const SUSPICION_TIMEOUT: Millis = Millis(1_500);
+/// A gap between ticks longer than this means that the local process was stalled. Members must
+/// not be suspected because no answers were processed during it.
+const STALL_THRESHOLD: Millis = Millis(500);
+/// How long a gone member is remembered. This exceeds the longest partition planned for, so
+/// that both sides rediscover each other afterwards.
+const GONE_RETENTION: Millis = Millis::from_secs(2 * 60 * 60);
+/// The maximum number of members, including gone ones; several times the largest planned fleet.
+const MAX_MEMBERS: usize = 2_048;
 
-/// What one step works with.
+/// The inputs and outputs of one step of the state machine.
 pub struct Step<'a> {
-    /// The time.
+    /// The current time.
     pub now: Millis,
-    /// Random numbers.
+    /// The random number generator.
     pub random: &'a mut ChaCha8Rng,
-    /// Takes what is to be sent.
+    /// Collects the actions to carry out.
     pub out: &'a mut Vec<Action>,
-    /// Takes what changed.
+    /// Collects the membership changes.
     pub changes: &'a mut Vec<Change>,
 }
 
@@ -58,23 +58,23 @@
     }
 }
 
-/// One entry's view of the fleet.
+/// The failure detector of one entry.
 #[derive(Debug)]
 pub struct Detector {
     members: Members,
     gossip: Gossip,
     probes: Probes,
     greetings: Greetings,
-    /// When each suspected member is held to be gone.
+    /// The time at which each suspected member is declared gone.
     suspects: BTreeMap<name::Entry, Millis>,
-    /// Entries that an operator wants to take no new work, until they say so.
+    /// Entries that an operator has drained, until they report that they are leaving.
     drained: BTreeMap<name::Entry, name::Incarnation>,
     ticked: Option<Millis>,
     superseded: bool,
 }
 
 impl Detector {
-    /// Only the own entry is known.
+    /// Creates a detector that knows only the local entry.
     pub fn new(own: Member) -> Self {
         Self {
             members: Members::new(own),
@@ -88,27 +88,27 @@
         }
     }
 
-    /// The members.
+    /// Returns the member table.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// What the own entry says of itself from now on.
-    pub fn set_figures(&mut self, figures: Figures) {
-        self.members.own_mut().figures = figures;
+    /// Sets the state that the local entry reports about itself.
+    pub fn set_heartbeat(&mut self, heartbeat: Heartbeat) {
+        self.members.own_mut().heartbeat = heartbeat;
     }
 
-    /// The own entry stops as planned: it takes no new work from now on.
+    /// Announces that the local entry is shutting down and accepts no new work.
     pub fn leave(&mut self, step: &mut Step<'_>) {
-        self.step_down(Standing::Leaving, step);
+        self.retire(Standing::Leaving, step);
     }
 
-    /// The own entry's last word.
+    /// Announces that the local entry is gone. This is its last message.
     pub fn end(&mut self, step: &mut Step<'_>) {
-        self.step_down(Standing::Gone, step);
+        self.retire(Standing::Gone, step);
     }
 
-    fn step_down(&mut self, standing: Standing, step: &mut Step<'_>) {
+    fn retire(&mut self, standing: Standing, step: &mut Step<'_>) {
         let own = self.members.own_mut();
         if own.standing >= standing {
             return;
@@ -122,8 +122,7 @@
         self.announce_own(step);
     }
 
-    /// An operator wants an entry to take no new work; false if there is none of
-    /// that name.
+    /// Drains an entry on behalf of an operator. Returns false if no entry has that name.
     pub fn drain(&mut self, name: &name::Entry, step: &mut Step<'_>) -> bool {
         let Some(member) = self.members.get(name).cloned() else {
             return false;
@@ -137,40 +136,40 @@
         true
     }
 
-    /// Takes in the platform's list: whom to greet.
-    pub fn listed(&mut self, instances: &[Instance], step: &mut Step<'_>) {
+    /// Updates the entries to greet from the platform's instance list.
+    pub fn update_listed(&mut self, instances: &[Instance], step: &mut Step<'_>) {
         let own = self.members.own().peer;
-        self.greetings.listed(instances, own);
+        self.greetings.update_listed(instances, own);
         if self.members.active_others().next().is_none() {
-            self.greet(greetings::AT_ONCE, step);
+            self.greet(greetings::INITIAL_GREETINGS, step);
         }
     }
 
-    /// Time has passed.
+    /// Handles timeouts and starts the probes and greetings that are due.
     pub fn tick(&mut self, step: &mut Step<'_>) {
-        self.forgive_own_stall(step.now);
+        self.extend_deadlines_after_stall(step.now);
         for expired in self.probes.expired(step.now) {
             match expired {
-                Expired::Direct(number, target) => self.relay(number, target, step),
+                Expired::Direct(number, target) => self.probe_indirectly(number, target, step),
                 Expired::Relayed(target) => self.suspect(target, step),
             }
         }
-        self.bury(step);
+        self.expire_suspects(step);
         if self.probes.due(step.now) {
             self.probe(step);
             self.remind_drained(step);
         }
         if self.greetings.due(step.now) {
             self.greet(1, step);
-            self.forget(step.now);
+            self.purge_gone(step.now);
         }
     }
 
-    /// Moves all deadlines by the time in which this entry did not run.
-    fn forgive_own_stall(&mut self, now: Millis) {
+    /// Extends all deadlines by the time for which the local process was stalled.
+    fn extend_deadlines_after_stall(&mut self, now: Millis) {
         let gap = self.ticked.map_or(Millis::ZERO, |ticked| now - ticked);
         self.ticked = Some(now);
-        if gap <= STALL {
+        if gap <= STALL_THRESHOLD {
             return;
         }
         self.probes.postpone(gap);
@@ -179,8 +178,8 @@
         }
     }
 
-    /// Holds suspects whose time has run out to be gone.
-    fn bury(&mut self, step: &mut Step<'_>) {
+    /// Declares suspected members gone when their suspicion timeout has passed.
+    fn expire_suspects(&mut self, step: &mut Step<'_>) {
         let now = step.now;
         let due: Vec<name::Entry> = self
             .suspects
@@ -200,7 +199,7 @@
         }
     }
 
-    /// A member missed its probes.
+    /// Suspects a member that answered neither direct nor indirect probes.
     fn suspect(&mut self, target: name::Incarnation, step: &mut Step<'_>) {
         let Some(name) = self
             .members
@@ -215,25 +214,28 @@
         match member.standing {
             Standing::Live => {
                 member.standing = Standing::Suspect;
-                self.suspects.insert(name.clone(), step.now + SUSPICION);
+                self.suspects
+                    .insert(name.clone(), step.now + SUSPICION_TIMEOUT);
                 self.announce(&name, step);
             }
-            // A suspicion must not hide that it is leaving, so that each entry
-            // keeps this one to itself.
+            // The standing stays `Leaving`, as `Suspect` would hide that the member is leaving.
+            // Only the local entry tracks this suspicion.
             Standing::Leaving => {
-                self.suspects.entry(name).or_insert(step.now + SUSPICION);
+                self.suspects
+                    .entry(name)
+                    .or_insert(step.now + SUSPICION_TIMEOUT);
             }
             Standing::Suspect | Standing::Gone => {}
         }
     }
 
-    /// Tells drained entries again, until they are seen to leave.
+    /// Resends drain messages to entries that have not yet reported that they are leaving.
     fn remind_drained(&mut self, step: &mut Step<'_>) {
         let members = &self.members;
-        self.drained.retain(|name, life| {
+        self.drained.retain(|name, incarnation| {
             members
                 .get(name)
-                .is_some_and(|member| member.incarnation == *life && member.active())
+                .is_some_and(|member| member.incarnation == *incarnation && member.active())
         });
         for name in self.drained.keys() {
             if let Some(member) = members.get(name) {
@@ -242,12 +244,14 @@
         }
     }
 
-    /// Forgets members that have been gone for long.
-    fn forget(&mut self, now: Millis) {
+    /// Removes members that have been gone for longer than the retention period.
+    fn purge_gone(&mut self, now: Millis) {
         let old: Vec<name::Entry> = self
             .members
             .others()
-            .filter(|member| member.standing == Standing::Gone && member.heard + GONE_KEPT <= now)
+            .filter(|member| {
+                member.standing == Standing::Gone && member.heard + GONE_RETENTION <= now
+            })
             .map(|member| member.name.clone())
             .collect();
         for name in old {
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Takes in a message of another entry.
+    /// Handles a message from another entry.
     pub fn receive(&mut self, from: name::Incarnation, message: Message, step: &mut Step<'_>) {
         match message {
             Message::Probe { number, sender } => {
@@ -265,14 +269,14 @@
                 }
             }
             Message::Answer { number, sender } => {
-                self.answered(number, &sender, step);
+                self.handle_answer(number, &sender, step);
                 self.merge(sender, step);
             }
             Message::Relay {
                 number,
                 target,
                 peer,
-            } => self.relayed(from, number, target, peer, step),
+            } => self.probe_on_behalf(from, number, target, peer, step),
             Message::News(news) => {
                 for member in news {
                     self.merge(member, step);
@@ -290,17 +294,17 @@
                     self.merge(sender, step);
                 }
             }
-            Message::Drain(life) => {
-                if life == self.members.own().incarnation {
+            Message::Drain(incarnation) => {
+                if incarnation == self.members.own().incarnation {
                     self.leave(step);
                 }
             }
         }
-        self.heard(from, step.now);
+        self.update_last_heard(from, step.now);
     }
 
-    /// Notes that a member spoke.
-    fn heard(&mut self, from: name::Incarnation, now: Millis) {
+    /// Records when a member was last heard from.
+    fn update_last_heard(&mut self, from: name::Incarnation, now: Millis) {
         let name = self
             .members
             .by_incarnation(from)
--- a/crates/core/src/quarantine/message.rs
+++ b/crates/core/src/quarantine/message.rs
@@ -1,46 +1,46 @@
-//! What entries tell one another of a request, with ages in place of moments, as each has a
-//! clock of its own.
+//! The crash history of a request as entries exchange it. Times are sent as ages, as each entry
+//! has its own clock.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::Crash;
-use crate::quarantine::KEEP;
-use crate::quarantine::record::{Counted, MOST_CRASHES};
+use crate::quarantine::RETENTION;
+use crate::quarantine::record::{CountedCrash, MAX_CRASHES};
 
-/// What an entry knows of one request.
+/// What an entry knows about the crashes of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
-    /// Which request.
+pub struct CrashHistory {
+    /// The request.
     pub request: Fingerprint,
-    /// How often a run that ended well has ended the count of its crashes: what was counted
-    /// before is void.
+    /// How many times a completed run has reset the crash count. Crashes counted before the last
+    /// reset are void.
     pub acquittals: u32,
-    /// Whether a run of it has ended well at all.
+    /// Whether any run of the request is known to have completed.
     pub is_popular: bool,
-    /// Its crashes since.
-    pub crashes: Vec<Heard>,
+    /// The crashes since the last reset.
+    pub crashes: Vec<ReportedCrash>,
 }
 
-/// What the platform keeps of a request that is withheld, for entries that start when all others
-/// are gone.
+/// The crash history of a withheld request as stored by the platform, for entries that start
+/// when no other entry is running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
-    /// What was known of it.
-    pub told: Told,
-    /// When that was, by the time of day: entries that are gone share no other clock with those
-    /// that come. A step of it makes a hold some seconds longer or shorter.
+pub struct StoredHistory {
+    /// The crash history.
+    pub told: CrashHistory,
+    /// Wall-clock time of writing. An entry that starts later shares no other clock with the
+    /// writer. A clock step lengthens or shortens a hold by some seconds.
     pub written_unix: Millis,
 }
 
-impl Kept {
-    /// What is known of it, as of this time of day.
+impl StoredHistory {
+    /// Returns the crash history with its ages adjusted to the given wall-clock time.
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
     /// use woodgap_core::fingerprint::{Fingerprint, Request};
-    /// use woodgap_core::quarantine::{Crash, Kept, Quarantine};
+    /// use woodgap_core::quarantine::{Crash, StoredHistory, Quarantine};
     ///
     /// let request = Request { caller: "", method: "GET", host: "", target: "/", body: b"" };
     /// let request = Fingerprint::of(&request);
@@ -48,59 +48,64 @@
     /// for endpoint in 1..=3 {
     ///     let at = Millis::from_secs(u64::from(endpoint));
     ///     let crash = Crash { endpoint, sent: at, at, pieces: 0 };
-    ///     quarantine.crashed(request, crash, at);
+    ///     quarantine.record_crash(request, crash, at);
     /// }
     /// let now = Millis::from_secs(5);
-    /// let told = quarantine.of_held(request, now).unwrap();
-    /// let kept = Kept { told, written_unix: Millis::from_secs(1_000) };
+    /// let told = quarantine.withheld_history(request, now).unwrap();
+    /// let kept = StoredHistory { told, written_unix: Millis::from_secs(1_000) };
     /// let mut later = Quarantine::default();
-    /// later.told(&[kept.told_at(Millis::from_secs(1_060))], Millis::from_secs(100));
+    /// later.merge_histories(&[kept.history_at(Millis::from_secs(1_060))], Millis::from_secs(100));
     /// assert!(later.hold(request, Millis::from_secs(100)).is_some());
     /// ```
-    pub fn told_at(&self, now_unix: Millis) -> Told {
+    pub fn history_at(&self, now_unix: Millis) -> CrashHistory {
         let since = now_unix - self.written_unix;
         let crashes = self.told.crashes.iter();
-        let crashes = crashes.map(|heard| Heard {
-            age: heard.age + since,
-            ..*heard
+        let crashes = crashes.map(|reported| ReportedCrash {
+            age: reported.age + since,
+            ..*reported
         });
-        Told {
+        CrashHistory {
             crashes: crashes.collect(),
             ..self.told.clone()
         }
     }
 
-    /// Whether it may be what an entry has written: its moments lie within what is remembered.
+    /// Returns whether the value is plausible: all times are within the retention period, and there
+    /// are not too many crashes.
     pub fn is_sound(&self) -> bool {
         let crashes = &self.told.crashes;
-        let is_recent = |heard: &Heard| heard.age <= KEEP && heard.lasted <= KEEP;
-        crashes.len() <= MOST_CRASHES && crashes.iter().all(is_recent)
+        let is_recent =
+            |reported: &ReportedCrash| reported.age <= RETENTION && reported.lasted <= RETENTION;
+        crashes.len() <= MAX_CRASHES && crashes.iter().all(is_recent)
     }
 
-    /// Whether it is forgotten by this time of day.
-    pub fn is_over(&self, now_unix: Millis) -> bool {
-        let told = self.told_at(now_unix);
-        told.crashes.iter().all(|heard| heard.age >= KEEP)
+    /// Returns whether all crashes have expired at the given wall-clock time.
+    pub fn is_expired(&self, now_unix: Millis) -> bool {
+        let history = self.history_at(now_unix);
+        history
+            .crashes
+            .iter()
+            .all(|reported| reported.age >= RETENTION)
     }
 }
 
-/// A crash, by how long ago it was.
+/// A crash, with its age instead of its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct ReportedCrash {
     endpoint: u32,
-    /// How long the endpoint had the request.
+    /// How long the request had been running on the endpoint.
     lasted: Millis,
     age: Millis,
-    /// How many pieces of the answer had come.
+    /// Number of pieces of the response received before the crash.
     pieces: u32,
-    /// How many runs of the request it cut off.
+    /// Number of runs of the request that the crash interrupted.
     runs: u32,
 }
 
-impl Heard {
-    /// As it is told now.
-    pub fn of(counted: &Counted, now: Millis) -> Self {
-        let Counted { crash, runs } = counted;
+impl ReportedCrash {
+    /// Converts a crash to the form in which it is sent.
+    pub fn of(counted: &CountedCrash, now: Millis) -> Self {
+        let CountedCrash { crash, runs } = counted;
         Self {
             endpoint: crash.endpoint,
             lasted: crash.at - crash.sent,
@@ -110,8 +115,8 @@
         }
     }
 
-    /// On the own clock.
-    pub fn counted(&self, now: Millis) -> Counted {
+    /// Converts the received crash to local time.
+    pub fn localize(&self, now: Millis) -> CountedCrash {
         let at = now - self.age;
         let crash = Crash {
             endpoint: self.endpoint,
@@ -119,7 +124,7 @@
             at,
             pieces: self.pieces,
         };
-        Counted {
+        CountedCrash {
             crash,
             runs: self.runs,
         }
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -10,13 +10,11 @@
 use tokio::net::UdpSocket;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
+use woodgap_core::relay::polling;
 use woodgap_core::relay::fleet::Member;
 use woodgap_core::relay::load_report::LoadReport;
-use woodgap_core::relay::polling;
 
-use crate::gossip::message::{
-    self, Knowledge, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message, USUALLY_TOLD,
-};
+use crate::gossip::message::{self, Knowledge, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message, USUALLY_TOLD};
 use crate::gossip::{FIRST_ROUND, ROUND, fetch};
 use crate::state::State;
 
@@ -182,7 +180,11 @@
             rests: self.state.rests.borrow().report(now),
             ..self.bare(number, is_answer)
         };
-        let suspects = self.state.quarantine.borrow_mut().tell(MOST_SUSPECTS, now);
+        let suspects = self
+            .state
+            .quarantine
+            .borrow_mut()
+            .histories_to_send(MOST_SUSPECTS, now);
         if let Err(error) = message::accuse(&mut message, suspects) {
             log::debug!(error = error.to_string(); "a request can't be told of");
         }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -8,17 +8,17 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::name;
-use woodgap_core::quarantine::{Change, Crash, Quarantine, Told};
-use woodgap_core::relay::budget::{RetryBudget, RetryLimit};
+use woodgap_core::quarantine::{Change, Crash, Quarantine, CrashHistory};
+use woodgap_core::relay::budget::{RetryLimit, RetryBudget};
 use woodgap_core::relay::claim::Claim;
+use woodgap_core::relay::polling::{self, PollDecision, Confirmation, EntryStatus, Subject};
 use woodgap_core::relay::engine::LoadBalancer;
 use woodgap_core::relay::fleet::{Fleet, Member};
-use woodgap_core::relay::median_clock::MedianClock;
-use woodgap_core::relay::polling::{self, Confirmation, EntryStatus, PollDecision, Subject};
 use woodgap_core::relay::rest::IdleLimits;
 use woodgap_core::relay::shutdown::Shutdown;
+use woodgap_core::relay::median_clock::MedianClock;
 use woodgap_core::relay::usage::{Meter, UsageTotals, Window};
-use woodgap_core::relay::{ActivePlan, Evacuation, Roster, warming};
+use woodgap_core::relay::{Evacuation, ActivePlan, Roster, warming};
 use woodgap_platform::clock::Clock;
 use woodgap_settings::relay::Relay as Settings;
 
@@ -419,7 +419,10 @@
     /// Takes in that an endpoint crashed while it had the request.
     pub fn crashed(&self, request: Fingerprint, crash: Crash) {
         let now = self.now();
-        let change = self.quarantine.borrow_mut().crashed(request, crash, now);
+        let change = self
+            .quarantine
+            .borrow_mut()
+            .record_crash(request, crash, now);
         self.quarantine_changed(&change);
         // Who sees a crash writes it down: not all entries, as they hear of it.
         if self.quarantine.borrow().hold(request, now).is_some() {
@@ -430,7 +433,7 @@
     /// Takes in that a request has ended, and its endpoint goes on.
     pub fn survived(&self, request: Fingerprint) {
         let now = self.now();
-        let change = self.quarantine.borrow_mut().survived(request, now);
+        let change = self.quarantine.borrow_mut().record_success(request, now);
         self.quarantine_changed(&change);
         if change.released.contains(&request) {
             self.rewrite(request);
@@ -444,9 +447,9 @@
     }
 
     /// Takes in what another entry tells of requests that crash endpoints.
-    pub fn told_of_crashes(&self, told: &[Told]) {
+    pub fn told_of_crashes(&self, told: &[CrashHistory]) {
         let now = self.now();
-        let change = self.quarantine.borrow_mut().told(told, now);
+        let change = self.quarantine.borrow_mut().merge_histories(told, now);
         self.quarantine_changed(&change);
     }
 
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -13,9 +13,7 @@
 use woodgap_core::relay::roster::{Change, Endpoint};
 use woodgap_core::relay::usage::Window;
 use woodgap_core::relay::work::Work;
-use woodgap_relay::gossip::message::{
-    self, Knowledge, Listed, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message,
-};
+use woodgap_relay::gossip::message::{self, Knowledge, Listed, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message};
 
 use crate::peer::{IGNORANT, question};
 use crate::site;
@@ -194,10 +192,10 @@
                 at,
                 pieces: u32::MAX,
             };
-            quarantine.crashed(Fingerprint::of(&request), crash, at);
+            quarantine.record_crash(Fingerprint::of(&request), crash, at);
         }
     }
-    let suspects = quarantine.tell(MOST_SUSPECTS, Millis(4_000));
+    let suspects = quarantine.histories_to_send(MOST_SUSPECTS, Millis(4_000));
     message::accuse(&mut message, suspects).unwrap();
     let bytes = message::encode(&message).unwrap();
     assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
