--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -143,7 +143,7 @@
                 self.exchange.in_force(revision, &changes);
                 self.announce(revision, out);
             }
-            Event::LogRead(asked) => self.exchange.read(asked),
+            Event::LogRead(asked) => self.exchange.log_read(asked),
             Event::Own(own) => self.own(own),
             Event::Stop => self.step(now, out, changes, Detector::leave),
             Event::End => self.step(now, out, changes, Detector::end),
@@ -246,7 +246,7 @@
         match message {
             Message::Membership(message) => {
                 if let Some(sender) = message.first_hand(from) {
-                    self.exchange.heard(now, from, sender.figures.revision);
+                    self.exchange.peer_heard(now, from, sender.figures.revision);
                 }
                 self.step(now, out, changes, |detector, step| {
                     detector.receive(from, message, step);
@@ -262,7 +262,7 @@
             }
             Message::Revision(message) => {
                 let mut wanted = Vec::new();
-                self.exchange.message(now, from, message, &mut wanted);
+                self.exchange.on_message(now, from, message, &mut wanted);
                 self.pass_on(wanted, out);
             }
             Message::Permit(message) => {
@@ -310,7 +310,7 @@
         let own = members.own().incarnation;
         for member in members.active().filter(|member| member.incarnation != own) {
             self.exchange
-                .news(now, member.incarnation, member.figures.revision);
+                .peer_reported(now, member.incarnation, member.figures.revision);
         }
         let mut wanted = Vec::new();
         self.exchange.tick(now, &mut wanted);
@@ -328,7 +328,7 @@
             Wanted::Send(to, message) => {
                 address(to).map(|to| Action::Send(to, Message::Revision(message)))
             }
-            Wanted::SendAll(to) => address(to).map(Action::SendAll),
+            Wanted::SendSnapshot(to) => address(to).map(Action::SendAll),
             Wanted::Apply(changes) => Some(Action::Apply(changes)),
             Wanted::Replace {
                 revision,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -24,11 +24,11 @@
 pub mod tenure;
 
 pub use duty::Duty;
-pub use expired::{Expired, Revived};
-pub use free::{Doubt, Free, Sighted, Take, Took};
-pub use held::{Held, Kept};
+pub use expired::{Expired, RenewalOutcome};
+pub use free::{Free, FreeReadOutcome, Take, TakeOutcome, Unresolved};
+pub use held::{Held, OwnedReadOutcome};
 pub use machine::{Machine, Step, View, Want};
-pub use row::{Answer, Mark, Record, Seen, Versioned, Write};
+pub use row::{Mark, Record, Snapshot, Versioned, Write, WriteOutcome};
 pub use tenure::{Renewal, Tenure};
 
 /// Of a lease's duration, the part after which its holder stops by itself, in
@@ -104,14 +104,14 @@
 /// renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the lease is over")]
-pub struct Over;
+pub struct LeaseExpired;
 
 /// A lease in one of its states, as one life of an entry sees it.
 #[derive(Clone, Debug)]
 pub struct Lease<S> {
     own: Holder,
     term: Term,
-    takes: row::Takes,
+    takes: row::TakeNumbers,
     state: S,
 }
 
@@ -138,9 +138,9 @@
 /// assert_eq!(ranks.iter().sum::<usize>(), 0 + 1 + 2);
 /// ```
 pub fn rank(work: &str, own: &name::Entry, entries: &[name::Entry]) -> usize {
-    let mine = score(work, own);
-    let before = |entry: &&name::Entry| *entry != own && score(work, entry) > mine;
-    entries.iter().filter(before).count()
+    let own_score = score(work, own);
+    let precedes = |entry: &&name::Entry| *entry != own && score(work, entry) > own_score;
+    entries.iter().filter(precedes).count()
 }
 
 fn score<'a>(work: &str, entry: &'a name::Entry) -> ([u8; 8], &'a name::Entry) {
--- a/crates/core/src/lease/duty/tests.rs
+++ b/crates/core/src/lease/duty/tests.rs
@@ -22,13 +22,13 @@
 #[case(9, 6_400)]
 fn duty(#[case] rank: usize, #[case] after: u64) {
     let mut duty = Duty::new(POLL, TERM);
-    duty.rank(rank);
+    duty.set_rank(rank);
     assert!(!wants(&mut duty, 0));
-    duty.looked(Millis(1_000), true);
-    duty.looked(Millis(1_000 + after), true);
+    duty.record_poll(Millis(1_000), true);
+    duty.record_poll(Millis(1_000 + after), true);
     assert!(after == 0 || !wants(&mut duty, 1_000 + after - 1));
     assert!(wants(&mut duty, 1_000 + after));
-    duty.looked(Millis(2_000 + after), false);
+    duty.record_poll(Millis(2_000 + after), false);
     assert!(!wants(&mut duty, 2_000 + after));
 }
 
@@ -37,20 +37,20 @@
 #[test]
 fn a_turn_ends() {
     let mut duty = Duty::new(POLL, TERM);
-    duty.rank(1);
-    duty.looked(Millis(0), true);
+    duty.set_rank(1);
+    duty.record_poll(Millis(0), true);
     assert!(matches!(
         duty.want(Millis(400), true, true),
         Want::Hold { .. }
     ));
-    assert!(duty.starts(Millis(1_399)) && !duty.starts(Millis(1_400)));
+    assert!(duty.may_start(Millis(1_399)) && !duty.may_start(Millis(1_400)));
     assert!(matches!(
         duty.want(Millis(1_400), true, true),
         Want::Hold { .. }
     ));
     assert_eq!(duty.want(Millis(1_400), true, false), Want::Release);
     assert!(!wants(&mut duty, 1_500), "its grace begins anew");
-    duty.rank(0);
-    duty.looked(Millis(1_600), true);
-    assert!(duty.starts(Millis(9_999)) && wants(&mut duty, 9_999));
+    duty.set_rank(0);
+    duty.record_poll(Millis(1_600), true);
+    assert!(duty.may_start(Millis(9_999)) && wants(&mut duty, 9_999));
 }
--- a/crates/core/src/lease/expired.rs
+++ b/crates/core/src/lease/expired.rs
@@ -2,7 +2,9 @@
 
 use crate::clock::Millis;
 use crate::lease::tenure::Finding;
-use crate::lease::{Answer, Fence, Free, Held, Kept, Lease, Renewal, Seen, Tenure, Write};
+use crate::lease::{
+    Fence, Free, Held, Lease, OwnedReadOutcome, Renewal, Snapshot, Tenure, Write, WriteOutcome,
+};
 
 /// Ours once; nothing may be done under it.
 ///
@@ -15,7 +17,7 @@
 
 /// What became of the renewal of an expired lease.
 #[derive(Clone, Debug)]
-pub enum Revived {
+pub enum RenewalOutcome {
     /// It is ours again.
     Held(Lease<Held>),
     /// It is still over.
@@ -29,14 +31,14 @@
     }
 
     /// Whether the rows must be read before the next write.
-    pub fn unclear(&self) -> bool {
-        self.state.tenure.unclear
+    pub fn must_read(&self) -> bool {
+        self.state.tenure.must_read
     }
 
     /// A write under the fence was refused: the rows must be read.
     #[must_use]
     pub fn suspect(mut self) -> Self {
-        self.state.tenure.unclear = true;
+        self.state.tenure.must_read = true;
         self
     }
 
@@ -46,31 +48,36 @@
     }
 
     /// Takes in what became of a renewal, answered now.
-    pub fn renewed(mut self, now: Millis, renewal: &Renewal, answer: Answer) -> Revived {
-        match self.state.tenure.renewed(renewal, answer) {
+    pub fn on_renewal(
+        mut self,
+        now: Millis,
+        renewal: &Renewal,
+        answer: WriteOutcome,
+    ) -> RenewalOutcome {
+        match self.state.tenure.on_renewal(renewal, answer) {
             Some(sent) => self.revived(now, sent),
-            None => Revived::Expired(self),
+            None => RenewalOutcome::Expired(self),
         }
     }
 
     /// Takes in a read. Also one that shows a renewal in force leaves the lease
     /// over: the next renewal brings it back.
-    pub fn seen(mut self, seen: &Seen) -> Kept<Expired> {
+    pub fn on_read(mut self, seen: &Snapshot) -> OwnedReadOutcome<Expired> {
         // Its time is over: nothing is lost by watching rows that were put back like another's.
         if seen.version() < self.state.tenure.version {
-            return Kept::Lost(self.with(Free::default()));
+            return OwnedReadOutcome::Lost(self.with(Free::default()));
         }
-        match self.state.tenure.seen(&self.own, seen) {
-            Finding::Lost => Kept::Lost(self.with(Free::default())),
-            Finding::Ours(_) => Kept::Ours(self),
+        match self.state.tenure.on_read(&self.own, seen) {
+            Finding::Lost => OwnedReadOutcome::Lost(self.with(Free::default())),
+            Finding::Owned(_) => OwnedReadOutcome::Owned(self),
         }
     }
 
-    fn revived(self, now: Millis, sent: Millis) -> Revived {
+    fn revived(self, now: Millis, sent: Millis) -> RenewalOutcome {
         let held = Held::new(self.state.tenure.clone(), sent, self.term);
         match self.with(held).expire(now) {
-            Ok(held) => Revived::Held(held),
-            Err(expired) => Revived::Expired(expired),
+            Ok(held) => RenewalOutcome::Held(held),
+            Err(expired) => RenewalOutcome::Expired(expired),
         }
     }
 
--- a/crates/core/src/lease/free.rs
+++ b/crates/core/src/lease/free.rs
@@ -1,9 +1,9 @@
 //! A lease that is not ours: watched, and taken once nobody can hold it.
 
 use crate::clock::Millis;
-use crate::lease::row::Takes;
+use crate::lease::row::TakeNumbers;
 use crate::lease::{
-    Answer, Expired, Fence, Held, Holder, Lease, Mark, Record, Seen, Tenure, Term, Write,
+    Expired, Fence, Held, Holder, Lease, Mark, Record, Snapshot, Tenure, Term, Write, WriteOutcome,
 };
 
 /// Not ours.
@@ -14,7 +14,7 @@
 
 /// A take was sent, and nobody knows what became of it.
 #[derive(Clone, Debug)]
-pub struct Doubt {
+pub struct Unresolved {
     take: Take,
 }
 
@@ -25,11 +25,11 @@
     /// When this version was first seen without a gap since.
     since: Millis,
     /// When it was last seen.
-    last: Millis,
+    last_seen: Millis,
     /// How long it must be seen; nothing for a lease that nobody holds.
     wait: Millis,
     /// The longest time between two looks.
-    gap: Millis,
+    max_gap: Millis,
 }
 
 /// A take that is under way.
@@ -43,7 +43,7 @@
 
 /// What a read made of a lease that was not ours.
 #[derive(Clone, Debug)]
-pub enum Sighted {
+pub enum FreeReadOutcome {
     /// It is not ours.
     Free(Lease<Free>),
     /// It is ours after all, by a take that was given up: renew it.
@@ -52,7 +52,7 @@
 
 /// What became of a take.
 #[derive(Clone, Debug)]
-pub enum Took {
+pub enum TakeOutcome {
     /// The lease is ours.
     Held(Lease<Held>),
     /// It is ours, but its time is over already.
@@ -60,7 +60,7 @@
     /// It is not ours.
     Free(Lease<Free>),
     /// The rows must be read.
-    Doubt(Lease<Doubt>),
+    Unresolved(Lease<Unresolved>),
 }
 
 impl Lease<Free> {
@@ -70,52 +70,53 @@
         Self {
             own,
             term,
-            takes: Takes::new(first_take),
+            takes: TakeNumbers::new(first_take),
             state: Free::default(),
         }
     }
 
     /// Takes in a read, answered now.
     ///
-    /// A longer time than `gap` between two looks starts the watch again: after
+    /// A longer time than `max_gap` between two looks starts the watch again: after
     /// an outage of the table service, its holder may renew first.
-    pub fn seen(mut self, now: Millis, seen: &Seen, gap: Millis) -> Sighted {
+    pub fn on_read(mut self, now: Millis, seen: &Snapshot, max_gap: Millis) -> FreeReadOutcome {
         let own = seen.take_of(&self.own);
         if let Some((take, fence)) = own.filter(|(take, _)| self.takes.contains(*take)) {
             let tenure = tenure(fence, seen.version(), take);
-            return Sighted::Expired(self.with(Expired { tenure }));
+            return FreeReadOutcome::Expired(self.with(Expired { tenure }));
         }
-        self.watch(now, seen, gap);
-        Sighted::Free(self)
+        self.watch(now, seen, max_gap);
+        FreeReadOutcome::Free(self)
     }
 
-    fn watch(&mut self, now: Millis, seen: &Seen, gap: Millis) {
+    fn watch(&mut self, now: Millis, seen: &Snapshot, max_gap: Millis) {
         let version = seen.version();
-        let before = self.state.watch.as_ref();
-        let newer = before.filter(|watch| version < watch.version);
-        if newer.is_some_and(|watch| now - watch.last <= watch.gap) {
+        let previous = self.state.watch.as_ref();
+        let newer_seen = previous.filter(|watch| version < watch.version);
+        if newer_seen.is_some_and(|watch| now - watch.last_seen <= watch.max_gap) {
             return;
         }
-        let same = before.filter(|watch| watch.version == version && now - watch.last <= gap);
+        let same =
+            previous.filter(|watch| watch.version == version && now - watch.last_seen <= max_gap);
         let since = same.map_or(now, |watch| watch.since);
         let wait = match (&seen.record, seen.holder()) {
             (Some(record), Some(_)) => Term::new(record.value.duration).wait(),
             // An older state that stays is all there is: the rows were put back. Somebody may
             // hold the lease by a take that is not among them.
-            _ if newer.is_some() => self.term.wait(),
+            _ if newer_seen.is_some() => self.term.wait(),
             _ => Millis::ZERO,
         };
         self.state.watch = Some(Watch {
             version,
             since,
-            last: now,
+            last_seen: now,
             wait,
-            gap,
+            max_gap,
         });
     }
 
     /// When the lease may be taken, if it stays as it was seen.
-    pub fn ripe_at(&self) -> Option<Millis> {
+    pub fn takeover_at(&self) -> Option<Millis> {
         let watch = self.state.watch.as_ref()?;
         Some(watch.since + watch.wait)
     }
@@ -123,8 +124,8 @@
     /// A take, if nobody can hold the lease now.
     pub fn take(&mut self, now: Millis) -> Option<Take> {
         let watch = self.state.watch.as_ref()?;
-        let ripe = watch.since + watch.wait;
-        if now < ripe || now - watch.last > watch.gap {
+        let takeover_at = watch.since + watch.wait;
+        if now < takeover_at || now - watch.last_seen > watch.max_gap {
             return None;
         }
         let take = self.takes.next();
@@ -148,28 +149,28 @@
     }
 
     /// Takes in what became of a take.
-    pub fn took(mut self, now: Millis, take: Take, answer: Answer) -> Took {
+    pub fn on_take(mut self, now: Millis, take: Take, answer: WriteOutcome) -> TakeOutcome {
         match answer {
-            Answer::Committed {
+            WriteOutcome::Committed {
                 version,
                 fence: Some(fence),
             } => {
                 let tenure = tenure(fence, version, take.write.record.take);
-                Took::start(self, now, take.sent, tenure)
+                TakeOutcome::start(self, now, take.sent, tenure)
             }
-            Answer::Conflict => {
+            WriteOutcome::Conflict => {
                 self.state.watch = None;
-                Took::Free(self)
+                TakeOutcome::Free(self)
             }
-            Answer::Unavailable => Took::Free(self),
-            Answer::Unknown | Answer::Committed { fence: None, .. } => {
-                Took::Doubt(self.with(Doubt { take }))
+            WriteOutcome::Unavailable => TakeOutcome::Free(self),
+            WriteOutcome::Unknown | WriteOutcome::Committed { fence: None, .. } => {
+                TakeOutcome::Unresolved(self.with(Unresolved { take }))
             }
         }
     }
 }
 
-impl Took {
+impl TakeOutcome {
     fn start<S>(lease: Lease<S>, now: Millis, sent: Millis, tenure: Tenure) -> Self {
         let held = Held::new(tenure, sent, lease.term);
         match lease.with(held).expire(now) {
@@ -179,21 +180,21 @@
     }
 }
 
-impl Lease<Doubt> {
+impl Lease<Unresolved> {
     /// Takes in a read, answered now.
     ///
     /// A take that the read does not show may still take effect; a later read
     /// then finds it.
-    pub fn seen(self, now: Millis, seen: &Seen, gap: Millis) -> Took {
-        let wanted = self.state.take.write.record.take;
+    pub fn on_read(self, now: Millis, seen: &Snapshot, max_gap: Millis) -> TakeOutcome {
+        let sent_take = self.state.take.write.record.take;
         let own = seen.take_of(&self.own);
-        if let Some((take, fence)) = own.filter(|(take, _)| *take == wanted) {
+        if let Some((take, fence)) = own.filter(|(take, _)| *take == sent_take) {
             let sent = self.state.take.sent;
-            return Took::start(self, now, sent, tenure(fence, seen.version(), take));
+            return TakeOutcome::start(self, now, sent, tenure(fence, seen.version(), take));
         }
-        match self.with(Free::default()).seen(now, seen, gap) {
-            Sighted::Free(free) => Took::Free(free),
-            Sighted::Expired(expired) => Took::Expired(expired),
+        match self.with(Free::default()).on_read(now, seen, max_gap) {
+            FreeReadOutcome::Free(free) => TakeOutcome::Free(free),
+            FreeReadOutcome::Expired(expired) => TakeOutcome::Expired(expired),
         }
     }
 }
@@ -203,7 +204,7 @@
         fence,
         version,
         take,
-        doubt: None,
-        unclear: false,
+        unresolved_since: None,
+        must_read: false,
     }
 }
--- a/crates/core/src/lease/held.rs
+++ b/crates/core/src/lease/held.rs
@@ -2,7 +2,9 @@
 
 use crate::clock::Millis;
 use crate::lease::tenure::Finding;
-use crate::lease::{Answer, Expired, Fence, Free, Lease, Over, Renewal, Seen, Tenure, Term, Write};
+use crate::lease::{
+    Expired, Fence, Free, Lease, LeaseExpired, Renewal, Snapshot, Tenure, Term, Write, WriteOutcome,
+};
 
 /// Ours.
 #[derive(Clone, Debug)]
@@ -14,9 +16,9 @@
 
 /// What a read made of a lease that was ours.
 #[derive(Clone, Debug)]
-pub enum Kept<S> {
+pub enum OwnedReadOutcome<S> {
     /// It still is.
-    Ours(Lease<S>),
+    Owned(Lease<S>),
     /// It is not.
     Lost(Lease<Free>),
 }
@@ -37,12 +39,12 @@
     ///
     /// # Errors
     ///
-    /// [`Over`] once its time is over.
-    pub fn check(&self, now: Millis) -> Result<Fence, Over> {
+    /// [`LeaseExpired`] once its time is over.
+    pub fn check(&self, now: Millis) -> Result<Fence, LeaseExpired> {
         if now < self.state.until {
             Ok(self.state.tenure.fence)
         } else {
-            Err(Over)
+            Err(LeaseExpired)
         }
     }
 
@@ -62,14 +64,14 @@
     }
 
     /// Whether the rows must be read before the next write.
-    pub fn unclear(&self) -> bool {
-        self.state.tenure.unclear
+    pub fn must_read(&self) -> bool {
+        self.state.tenure.must_read
     }
 
     /// A write under the fence was refused: the rows must be read.
     #[must_use]
     pub fn suspect(mut self) -> Self {
-        self.state.tenure.unclear = true;
+        self.state.tenure.must_read = true;
         self
     }
 
@@ -80,22 +82,22 @@
 
     /// Takes in what became of a renewal.
     #[must_use]
-    pub fn renewed(mut self, renewal: &Renewal, answer: Answer) -> Self {
-        if let Some(sent) = self.state.tenure.renewed(renewal, answer) {
+    pub fn on_renewal(mut self, renewal: &Renewal, answer: WriteOutcome) -> Self {
+        if let Some(sent) = self.state.tenure.on_renewal(renewal, answer) {
             self.extend(sent);
         }
         self
     }
 
     /// Takes in a read.
-    pub fn seen(mut self, seen: &Seen) -> Kept<Held> {
-        match self.state.tenure.seen(&self.own, seen) {
-            Finding::Lost => Kept::Lost(self.with(Free::default())),
-            Finding::Ours(sent) => {
+    pub fn on_read(mut self, seen: &Snapshot) -> OwnedReadOutcome<Held> {
+        match self.state.tenure.on_read(&self.own, seen) {
+            Finding::Lost => OwnedReadOutcome::Lost(self.with(Free::default())),
+            Finding::Owned(sent) => {
                 if let Some(sent) = sent {
                     self.extend(sent);
                 }
-                Kept::Ours(self)
+                OwnedReadOutcome::Owned(self)
             }
         }
     }
--- a/crates/core/src/lease/machine.rs
+++ b/crates/core/src/lease/machine.rs
@@ -2,18 +2,18 @@
 
 use crate::clock::Millis;
 use crate::lease::{
-    Answer, Doubt, Expired, Fence, Free, Held, Holder, Kept, Lease, Over, Renewal, Revived, Seen,
-    Sighted, Take, Term, Took, Write,
+    Expired, Fence, Free, FreeReadOutcome, Held, Holder, Lease, LeaseExpired, OwnedReadOutcome,
+    Renewal, RenewalOutcome, Snapshot, Take, TakeOutcome, Term, Unresolved, Write, WriteOutcome,
 };
 
 /// Of a lease's duration, the pause after a call that brought nothing, in percent.
-const PAUSE_PERCENT: u64 = 5;
+const RETRY_PERCENT: u64 = 5;
 /// The shortest such pause.
-const SHORTEST_PAUSE: Millis = Millis(20);
+const MIN_RETRY_PAUSE: Millis = Millis(20);
 /// How many looks may be missed before a watch starts again.
-const MISSED_LOOKS: u64 = 2;
+const MISSED_POLLS: u64 = 2;
 /// A rest without end: a change of what is wanted ends it.
-const FOR_EVER: Millis = Millis::from_secs(3_600);
+const IDLE_REST: Millis = Millis::from_secs(3_600);
 
 /// What the caller wants of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// To hold it. While another does, the rows are read this often.
     Hold {
         /// The time between two looks.
-        look: Millis,
+        poll_interval: Millis,
     },
     /// To give it back, so that others need not wait.
     Release,
@@ -34,9 +34,9 @@
 pub enum Step {
     /// None before this time, unless something else is wanted.
     Rest(Millis),
-    /// Read both rows, and report them to [`Machine::read`].
+    /// Read both rows, and report them to [`Machine::on_read`].
     Read,
-    /// Write, and report what became of it to [`Machine::wrote`].
+    /// Write, and report what became of it to [`Machine::on_write`].
     Write(Write),
 }
 
@@ -45,7 +45,7 @@
 pub enum View {
     /// Not ours.
     #[default]
-    Away,
+    NotHeld,
     /// Ours, until this time on the own clock.
     Held {
         /// The number under which to act.
@@ -62,18 +62,18 @@
     ///
     /// # Errors
     ///
-    /// [`Over`] if not.
-    pub fn check(self, now: Millis) -> Result<Fence, Over> {
+    /// [`LeaseExpired`] if not.
+    pub fn check(self, now: Millis) -> Result<Fence, LeaseExpired> {
         match self {
             Self::Held { fence, until } if now < until => Ok(fence),
-            _ => Err(Over),
+            _ => Err(LeaseExpired),
         }
     }
 
     /// The fence, as long as nobody else is known to have a later one.
     pub fn fence(self) -> Option<Fence> {
         match self {
-            Self::Away => None,
+            Self::NotHeld => None,
             Self::Held { fence, .. } | Self::Expired(fence) => Some(fence),
         }
     }
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 enum State {
     Free(Lease<Free>),
-    Doubt(Lease<Doubt>),
+    Unresolved(Lease<Unresolved>),
     Held(Lease<Held>),
     Expired(Lease<Expired>),
 }
@@ -101,10 +101,10 @@
     state: Option<State>,
     pending: Option<Pending>,
     /// When the rows may be read next.
-    look_at: Millis,
+    next_read: Millis,
     /// When the next write may be tried.
     retry_at: Millis,
-    look: Millis,
+    poll_interval: Millis,
 }
 
 impl Machine {
@@ -114,9 +114,9 @@
             term,
             state: Some(State::Free(Lease::new(own, term, first_take))),
             pending: None,
-            look_at: Millis::ZERO,
+            next_read: Millis::ZERO,
             retry_at: Millis::ZERO,
-            look: term.duration(),
+            poll_interval: term.duration(),
         }
     }
 
@@ -128,18 +128,18 @@
                 until: held.until(),
             },
             Some(State::Expired(expired)) => View::Expired(expired.fence()),
-            _ => View::Away,
+            _ => View::NotHeld,
         }
     }
 
     /// The next call. Its time counts from `now`, so `now` is read before it is sent.
     pub fn step(&mut self, now: Millis, want: Want) -> Step {
-        if let Want::Hold { look } = want {
-            self.look = look;
+        if let Want::Hold { poll_interval } = want {
+            self.poll_interval = poll_interval;
         }
         let (state, step) = match self.current(now) {
             State::Free(free) => self.step_free(now, want, free),
-            State::Doubt(doubt) => (State::Doubt(doubt), self.read_at(now)),
+            State::Unresolved(unresolved) => (State::Unresolved(unresolved), self.read_at(now)),
             State::Held(held) => {
                 let step = self.step_held(now, want, &held);
                 (State::Held(held), step)
@@ -169,7 +169,7 @@
 
     fn step_free(&mut self, now: Millis, want: Want, mut free: Lease<Free>) -> (State, Step) {
         let step = match want {
-            Want::Idle | Want::Release => Step::Rest(now + FOR_EVER),
+            Want::Idle | Want::Release => Step::Rest(now + IDLE_REST),
             Want::Hold { .. } if now < self.retry_at => Step::Rest(self.retry_at),
             Want::Hold { .. } => match free.take(now) {
                 Some(take) => {
@@ -184,9 +184,11 @@
     }
 
     fn watch(&self, now: Millis, free: &Lease<Free>) -> Step {
-        let ripe = free.ripe_at().filter(|ripe| *ripe > now);
+        let takeover_at = free.takeover_at().filter(|takeover_at| *takeover_at > now);
         match self.read_at(now) {
-            Step::Rest(look) => Step::Rest(ripe.map_or(look, |ripe| ripe.min(look))),
+            Step::Rest(read_at) => {
+                Step::Rest(takeover_at.map_or(read_at, |takeover_at| takeover_at.min(read_at)))
+            }
             step => step,
         }
     }
@@ -194,12 +196,12 @@
     fn step_held(&mut self, now: Millis, want: Want, held: &Lease<Held>) -> Step {
         match want {
             Want::Idle => Step::Rest(held.until()),
-            _ if held.unclear() => self.read_at(now),
+            _ if held.must_read() => self.read_at(now),
             Want::Release => self.release(held.release()),
             Want::Hold { .. } => {
-                let due = held.renew_at().max(self.retry_at);
-                match self.renew(now, held.renewal(now), due) {
-                    Step::Rest(due) => Step::Rest(due.min(held.until())),
+                let due_at = held.renew_at().max(self.retry_at);
+                match self.renew(now, held.renewal(now), due_at) {
+                    Step::Rest(due_at) => Step::Rest(due_at.min(held.until())),
                     step => step,
                 }
             }
@@ -208,24 +210,24 @@
 
     fn step_expired(&mut self, now: Millis, want: Want, expired: &Lease<Expired>) -> Step {
         match want {
-            Want::Idle => Step::Rest(now + FOR_EVER),
-            _ if expired.unclear() => self.read_at(now),
+            Want::Idle => Step::Rest(now + IDLE_REST),
+            _ if expired.must_read() => self.read_at(now),
             Want::Release => self.release(expired.release()),
             Want::Hold { .. } => self.renew(now, expired.renewal(now), self.retry_at),
         }
     }
 
     fn read_at(&self, now: Millis) -> Step {
-        if now >= self.look_at {
+        if now >= self.next_read {
             Step::Read
         } else {
-            Step::Rest(self.look_at)
+            Step::Rest(self.next_read)
         }
     }
 
-    fn renew(&mut self, now: Millis, renewal: Renewal, due: Millis) -> Step {
-        if now < due {
-            return Step::Rest(due);
+    fn renew(&mut self, now: Millis, renewal: Renewal, due_at: Millis) -> Step {
+        if now < due_at {
+            return Step::Rest(due_at);
         }
         let step = Step::Write(renewal.write.clone());
         self.pending = Some(Pending::Renewal(renewal));
@@ -238,39 +240,41 @@
     }
 
     /// Takes in a read, answered now; none if it failed.
-    pub fn read(&mut self, now: Millis, seen: Option<&Seen>) {
+    pub fn on_read(&mut self, now: Millis, seen: Option<&Snapshot>) {
         let Some(seen) = seen else {
-            self.look_at = now + self.pause();
+            self.next_read = now + self.pause();
             return;
         };
-        let gap = Millis(self.look.0 * MISSED_LOOKS).max(self.term.duration());
+        let gap = Millis(self.poll_interval.0 * MISSED_POLLS).max(self.term.duration());
         let state = match self.take_state() {
-            State::Free(free) => sighted(free.seen(now, seen, gap)),
-            State::Doubt(doubt) => took(doubt.seen(now, seen, gap)),
-            State::Held(held) => kept(held.seen(seen), State::Held),
-            State::Expired(expired) => kept(expired.seen(seen), State::Expired),
+            State::Free(free) => from_free_read(free.on_read(now, seen, gap)),
+            State::Unresolved(unresolved) => from_take(unresolved.on_read(now, seen, gap)),
+            State::Held(held) => from_owned_read(held.on_read(seen), State::Held),
+            State::Expired(expired) => from_owned_read(expired.on_read(seen), State::Expired),
         };
         // What is still unclear is read again soon, what another holds at leisure.
-        let soon = match &state {
-            State::Free(_) => self.look,
+        let interval = match &state {
+            State::Free(_) => self.poll_interval,
             _ => self.pause(),
         };
-        self.look_at = now + soon;
+        self.next_read = now + interval;
         self.state = Some(state);
     }
 
     /// Takes in what became of the write of the last step, answered now.
-    pub fn wrote(&mut self, now: Millis, answer: Answer) {
+    pub fn on_write(&mut self, now: Millis, answer: WriteOutcome) {
         let pending = self.pending.take();
         let state = match (self.take_state(), pending) {
-            (State::Free(free), Some(Pending::Take(take))) => took(free.took(now, take, answer)),
+            (State::Free(free), Some(Pending::Take(take))) => {
+                from_take(free.on_take(now, take, answer))
+            }
             (State::Held(held), Some(Pending::Renewal(renewal))) => {
-                State::Held(held.renewed(&renewal, answer))
+                State::Held(held.on_renewal(&renewal, answer))
             }
             (State::Expired(expired), Some(Pending::Renewal(renewal))) => {
-                match expired.renewed(now, &renewal, answer) {
-                    Revived::Held(held) => State::Held(held),
-                    Revived::Expired(expired) => State::Expired(expired),
+                match expired.on_renewal(now, &renewal, answer) {
+                    RenewalOutcome::Held(held) => State::Held(held),
+                    RenewalOutcome::Expired(expired) => State::Expired(expired),
                 }
             }
             (State::Held(held), Some(Pending::Release)) => State::Free(held.released()),
@@ -280,11 +284,11 @@
         self.state = Some(state);
         match answer {
             // Whatever is there now is news.
-            Answer::Conflict => self.look_at = now,
-            Answer::Committed { .. } => {}
-            Answer::Unavailable | Answer::Unknown => {
+            WriteOutcome::Conflict => self.next_read = now,
+            WriteOutcome::Committed { .. } => {}
+            WriteOutcome::Unavailable | WriteOutcome::Unknown => {
                 self.retry_at = now + self.pause();
-                self.look_at = self.retry_at;
+                self.next_read = self.retry_at;
             }
         }
     }
@@ -297,33 +301,36 @@
             other => other,
         };
         self.state = Some(state);
-        self.look_at = now;
+        self.next_read = now;
     }
 
     fn pause(&self) -> Millis {
-        Millis(self.term.duration().0 * PAUSE_PERCENT / 100).max(SHORTEST_PAUSE)
+        Millis(self.term.duration().0 * RETRY_PERCENT / 100).max(MIN_RETRY_PAUSE)
     }
 }
 
-fn sighted(sighted: Sighted) -> State {
-    match sighted {
-        Sighted::Free(free) => State::Free(free),
-        Sighted::Expired(expired) => State::Expired(expired),
+fn from_free_read(outcome: FreeReadOutcome) -> State {
+    match outcome {
+        FreeReadOutcome::Free(free) => State::Free(free),
+        FreeReadOutcome::Expired(expired) => State::Expired(expired),
     }
 }
 
-fn took(took: Took) -> State {
-    match took {
-        Took::Held(held) => State::Held(held),
-        Took::Expired(expired) => State::Expired(expired),
-        Took::Free(free) => State::Free(free),
-        Took::Doubt(doubt) => State::Doubt(doubt),
+fn from_take(outcome: TakeOutcome) -> State {
+    match outcome {
+        TakeOutcome::Held(held) => State::Held(held),
+        TakeOutcome::Expired(expired) => State::Expired(expired),
+        TakeOutcome::Free(free) => State::Free(free),
+        TakeOutcome::Unresolved(unresolved) => State::Unresolved(unresolved),
     }
 }
 
-fn kept<S>(kept: Kept<S>, ours: impl FnOnce(Lease<S>) -> State) -> State {
-    match kept {
-        Kept::Ours(lease) => ours(lease),
-        Kept::Lost(free) => State::Free(free),
+fn from_owned_read<S>(
+    outcome: OwnedReadOutcome<S>,
+    owned: impl FnOnce(Lease<S>) -> State,
+) -> State {
+    match outcome {
+        OwnedReadOutcome::Owned(lease) => owned(lease),
+        OwnedReadOutcome::Lost(free) => State::Free(free),
     }
 }
--- a/crates/core/src/lease/row.rs
+++ b/crates/core/src/lease/row.rs
@@ -37,14 +37,14 @@
 
 /// What a read of both rows showed; it may be an older state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Snapshot {
     /// The record; none where there is none.
     pub record: Option<Versioned<Record>>,
     /// The mark; none where there is none.
     pub mark: Option<Versioned<Mark>>,
 }
 
-impl Seen {
+impl Snapshot {
     /// The record's version; 0 where there is none.
     pub fn version(&self) -> u64 {
         self.record.as_ref().map_or(0, |record| record.version)
@@ -61,8 +61,8 @@
         let mark = self.mark.as_ref()?;
         // Both rows may have been read at different times.
         let whole = mark.value.take == record.value.take && mark.value.holder == *own;
-        let mine = record.value.holder.as_ref() == Some(own);
-        (whole && mine).then_some((record.value.take, Fence(mark.version)))
+        let is_holder = record.value.holder.as_ref() == Some(own);
+        (whole && is_holder).then_some((record.value.take, Fence(mark.version)))
     }
 }
 
@@ -79,7 +79,7 @@
 
 /// What became of a [`Write`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum WriteOutcome {
     /// It took effect.
     Committed {
         /// The record's new version.
@@ -97,12 +97,12 @@
 
 /// Numbers the takes of one life of a branch, so that it knows its own.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Takes {
+pub(super) struct TakeNumbers {
     first: u64,
     next: u64,
 }
 
-impl Takes {
+impl TakeNumbers {
     /// Takes from a number that is drawn at random.
     pub(super) fn new(first: u64) -> Self {
         Self { first, next: first }
--- a/crates/core/src/lease/tenure.rs
+++ b/crates/core/src/lease/tenure.rs
@@ -1,7 +1,7 @@
 //! What the states of a lease that is ours have in common: which write is in force.
 
 use crate::clock::Millis;
-use crate::lease::{Answer, Fence, Holder, Record, Seen, Term, Write};
+use crate::lease::{Fence, Holder, Record, Snapshot, Term, Write, WriteOutcome};
 
 /// A lease that is ours as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -10,9 +10,9 @@
     pub(super) version: u64,
     pub(super) take: u64,
     /// When the earliest renewal was sent of which nobody knows what became.
-    pub(super) doubt: Option<Millis>,
+    pub(super) unresolved_since: Option<Millis>,
     /// Whether the rows must be read before the next write.
-    pub(super) unclear: bool,
+    pub(super) must_read: bool,
 }
 
 /// A renewal that is under way.
@@ -27,7 +27,7 @@
 /// What the rows say about a tenure.
 pub(super) enum Finding {
     /// It is ours; the renewal sent at this time is in force, if that is news.
-    Ours(Option<Millis>),
+    Owned(Option<Millis>),
     /// Somebody else has it, or it was given back.
     Lost,
 }
@@ -58,47 +58,47 @@
 
     /// Takes in what became of a renewal; says from when its time counts, if it
     /// is in force.
-    pub(super) fn renewed(&mut self, renewal: &Renewal, answer: Answer) -> Option<Millis> {
+    pub(super) fn on_renewal(&mut self, renewal: &Renewal, answer: WriteOutcome) -> Option<Millis> {
         match answer {
-            Answer::Committed { version, .. } => {
+            WriteOutcome::Committed { version, .. } => {
                 // Renewals in doubt required the same version: none took effect.
                 self.version = version;
-                self.doubt = None;
-                self.unclear = false;
+                self.unresolved_since = None;
+                self.must_read = false;
                 Some(renewal.sent)
             }
-            Answer::Conflict => {
-                self.unclear = true;
+            WriteOutcome::Conflict => {
+                self.must_read = true;
                 None
             }
-            Answer::Unavailable => None,
-            Answer::Unknown => {
-                self.doubt.get_or_insert(renewal.sent);
-                self.unclear = true;
+            WriteOutcome::Unavailable => None,
+            WriteOutcome::Unknown => {
+                self.unresolved_since.get_or_insert(renewal.sent);
+                self.must_read = true;
                 None
             }
         }
     }
 
     /// Takes in a read of the rows.
-    pub(super) fn seen(&mut self, own: &Holder, seen: &Seen) -> Finding {
+    pub(super) fn on_read(&mut self, own: &Holder, seen: &Snapshot) -> Finding {
         let version = seen.version();
         if version != 0 && version < self.version {
             // An older state; the next read may show more.
-            return Finding::Ours(None);
+            return Finding::Owned(None);
         }
         let ours = seen.take_of(own).is_some_and(|(take, _)| take == self.take);
         if !ours {
             return Finding::Lost;
         }
-        self.unclear = false;
+        self.must_read = false;
         if version == self.version {
             // What is in doubt has not taken effect, but still may.
-            return Finding::Ours(None);
+            return Finding::Owned(None);
         }
         self.version = version;
         // Which of several renewals in doubt this is can't be told: the earliest
         // ends first.
-        Finding::Ours(self.doubt.take())
+        Finding::Owned(self.unresolved_since.take())
     }
 }
--- a/crates/core/src/lease/tests.rs
+++ b/crates/core/src/lease/tests.rs
@@ -6,32 +6,34 @@
 use rstest::rstest;
 
 use super::machine::{Machine, Step, View, Want};
-use super::row::{Answer, Mark, Record, Seen, Versioned, Write};
+use super::row::{Mark, Record, Snapshot, Versioned, Write, WriteOutcome};
 use super::{Fence, Holder, Term};
 use crate::clock::Millis;
 use crate::name::Incarnation;
 
 const TERM: Term = Term::new(Millis(1_000));
-const HOLD: Want = Want::Hold { look: Millis(250) };
+const HOLD: Want = Want::Hold {
+    poll_interval: Millis(250),
+};
 
 /// The two rows, with every state that they were in.
 #[derive(Clone, Debug, Default)]
 struct Rows {
     version: u64,
-    states: Vec<Seen>,
+    states: Vec<Snapshot>,
     /// Who took the lease, in order.
     takes: Vec<(Fence, Incarnation)>,
 }
 
 impl Rows {
-    fn now(&self) -> Seen {
+    fn now(&self) -> Snapshot {
         self.states.last().cloned().unwrap_or_default()
     }
 
-    fn write(&mut self, write: &Write) -> Answer {
+    fn write(&mut self, write: &Write) -> WriteOutcome {
         let mut seen = self.now();
         if seen.version() != write.over {
-            return Answer::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.version += 1;
         seen.record = Some(Versioned {
@@ -50,18 +52,18 @@
         }
         let fence = write.mark.as_ref().map(|_| Fence(self.version));
         self.states.push(seen);
-        Answer::Committed { version, fence }
+        WriteOutcome::Committed { version, fence }
     }
 
     /// What a writer hears of a call that this becomes of.
-    fn answer(&mut self, write: &Write, fate: Fate) -> Answer {
+    fn answer(&mut self, write: &Write, fate: Fate) -> WriteOutcome {
         match fate {
             Fate::Good | Fate::Stale => self.write(write),
-            Fate::Unavailable => Answer::Unavailable,
-            Fate::RequestLost => Answer::Unknown,
+            Fate::Unavailable => WriteOutcome::Unavailable,
+            Fate::RequestLost => WriteOutcome::Unknown,
             Fate::AckLost => {
                 self.write(write);
-                Answer::Unknown
+                WriteOutcome::Unknown
             }
         }
     }
@@ -105,11 +107,11 @@
                 Fate::Stale => Some(rows.states.iter().rev().nth(1).cloned().unwrap_or_default()),
                 _ => None,
             };
-            machine.read(now, seen.as_ref());
+            machine.on_read(now, seen.as_ref());
             true
         }
         Step::Write(write) => {
-            machine.wrote(now, rows.answer(&write, fate));
+            machine.on_write(now, rows.answer(&write, fate));
             true
         }
     }
@@ -147,7 +149,7 @@
     // One write to take, and one at each third of the duration.
     assert_eq!(rows.states.len(), 1 + 5_000 / 330);
     settle(&mut first, &mut rows, Millis(5_010), Want::Release);
-    assert_eq!(first.view(), View::Away);
+    assert_eq!(first.view(), View::NotHeld);
     run(&mut second, &mut rows, 5_010, 5_300, HOLD);
     assert!(holds(&second, 5_300));
     assert!(rows.takes[0].0 < rows.takes[1].0);
@@ -230,7 +232,7 @@
     assert!(holds(&second, at + 2_000));
     assert!(!holds(&first, at + 2_000), "before any call");
     run(&mut first, &mut rows, at + 2_000, at + 2_500, HOLD);
-    assert_eq!(first.view(), View::Away);
+    assert_eq!(first.view(), View::NotHeld);
     let [before, after] = rows.takes[..] else {
         panic!("{:?}", rows.takes);
     };
@@ -246,7 +248,7 @@
         panic!("a renewal is due");
     };
     run(&mut second, &mut rows, 0, 1_500, HOLD);
-    first.wrote(Millis(1_500), rows.write(&write));
+    first.on_write(Millis(1_500), rows.write(&write));
     run(&mut first, &mut rows, 1_500, 2_000, HOLD);
     assert!(!holds(&first, 2_000) && holds(&second, 1_500));
 }
@@ -296,7 +298,7 @@
         take: 2_000,
     };
     machine.step(Millis(0), HOLD);
-    let torn = Seen {
+    let torn = Snapshot {
         record: Some(Versioned {
             value: record,
             version: 9,
@@ -306,8 +308,8 @@
             version: 8,
         }),
     };
-    machine.read(Millis(0), Some(&torn));
-    assert_eq!(machine.view(), View::Away);
+    machine.on_read(Millis(0), Some(&torn));
+    assert_eq!(machine.view(), View::NotHeld);
 }
 
 /// The rows are put back to an older state, and versions are given out again. Not to one before
@@ -315,7 +317,7 @@
 /// other entries.
 fn put_back(rows: &mut Rows, states: usize) {
     let taken = rows.takes.last().map_or(0, |(fence, _)| fence.0);
-    let with_take = |seen: &Seen| seen.mark.as_ref().is_some_and(|mark| mark.version >= taken);
+    let with_take = |seen: &Snapshot| seen.mark.as_ref().is_some_and(|mark| mark.version >= taken);
     let first = rows.states.iter().position(with_take).unwrap_or(0);
     let kept = rows.states.len().saturating_sub(states).max(first + 1);
     rows.states.truncate(kept);
@@ -394,7 +396,7 @@
 }
 
 /// Makes the moves, one after the other, with a look after each.
-fn play(moves: &[Move], mut look: impl FnMut(&[Machine; 3], &Rows, u64)) {
+fn play(moves: &[Move], mut check: impl FnMut(&[Machine; 3], &Rows, u64)) {
     let mut machines = [machine(1), machine(2), machine(3)];
     let mut rows = Rows::default();
     let mut on_their_way: VecDeque<(usize, Write)> = VecDeque::new();
@@ -409,9 +411,9 @@
         match machine.step(Millis(now), made.want) {
             Step::Write(write) if made.late > 0 => {
                 on_their_way.push_back((index + made.late, write));
-                machine.wrote(Millis(now), Answer::Unknown);
+                machine.on_write(Millis(now), WriteOutcome::Unknown);
             }
-            Step::Write(write) => machine.wrote(Millis(now), rows.answer(&write, made.fate)),
+            Step::Write(write) => machine.on_write(Millis(now), rows.answer(&write, made.fate)),
             Step::Read => {
                 let seen = match made.fate {
                     Fate::Good | Fate::AckLost => Some(rows.now()),
@@ -420,11 +422,11 @@
                     }
                     _ => None,
                 };
-                machine.read(Millis(now), seen.as_ref());
+                machine.on_read(Millis(now), seen.as_ref());
             }
             Step::Rest(until) => assert!(until > Millis(now)),
         }
-        look(&machines, &rows, now);
+        check(&machines, &rows, now);
     }
 }
 
--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -9,18 +9,18 @@
 //! life that may run them. [`Sightings`] decide whether a request that could not
 //! be claimed may be refused as not run.
 
+pub mod abandoned;
 pub mod claim;
 pub mod claiming;
 pub mod closing;
 pub mod identity;
-pub mod notes;
 pub mod sightings;
 pub mod step;
 
+pub use abandoned::AbandonedRequests;
 pub use claim::{Claim, Digest, End, Key};
-pub use claiming::{Claiming, Settled};
+pub use claiming::{ClaimOutcome, Claiming};
 pub use closing::Closing;
 pub use identity::{Issued, Issuer};
-pub use notes::Notes;
 pub use sightings::Sightings;
 pub use step::{Row, Step, Written};
--- a/crates/core/src/once/notes.rs
+++ b/crates/core/src/once/abandoned.rs
@@ -6,50 +6,50 @@
 
 /// The most submissions remembered, some megabytes of them. One that is forgotten
 /// counts as possibly sent, which is always safe.
-const MOST: usize = 100_000;
+const MAX_ENTRIES: usize = 100_000;
 
 /// Submissions of one life that were not sent to an endpoint, and never will be.
 ///
 /// ```
 /// use woodgap_core::name::{Incarnation, Request};
-/// use woodgap_core::once::Notes;
+/// use woodgap_core::once::AbandonedRequests;
 ///
-/// let mut notes = Notes::new(Incarnation(1));
+/// let mut abandoned = AbandonedRequests::new(Incarnation(1));
 /// let own = Request { incarnation: Incarnation(1), sequence: 7 };
-/// notes.give_up(own);
-/// assert!(notes.gave_up(own));
+/// abandoned.abandon(own);
+/// assert!(abandoned.is_abandoned(own));
 /// // Of another life nothing is known.
-/// assert!(!notes.gave_up(Request { incarnation: Incarnation(2), ..own }));
+/// assert!(!abandoned.is_abandoned(Request { incarnation: Incarnation(2), ..own }));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Notes {
+pub struct AbandonedRequests {
     incarnation: name::Incarnation,
-    given_up: BTreeSet<u64>,
+    abandoned: BTreeSet<u64>,
 }
 
-impl Notes {
+impl AbandonedRequests {
     /// The notes of a new life.
     pub fn new(incarnation: name::Incarnation) -> Self {
         Self {
             incarnation,
-            given_up: BTreeSet::new(),
+            abandoned: BTreeSet::new(),
         }
     }
 
     /// Notes that a submission will never be sent; to be called before anything
     /// that builds on it.
-    pub fn give_up(&mut self, request: name::Request) {
+    pub fn abandon(&mut self, request: name::Request) {
         if request.incarnation != self.incarnation {
             return;
         }
-        self.given_up.insert(request.sequence);
-        if self.given_up.len() > MOST {
-            self.given_up.pop_first();
+        self.abandoned.insert(request.sequence);
+        if self.abandoned.len() > MAX_ENTRIES {
+            self.abandoned.pop_first();
         }
     }
 
     /// Whether a submission is known never to be sent.
-    pub fn gave_up(&self, request: name::Request) -> bool {
-        request.incarnation == self.incarnation && self.given_up.contains(&request.sequence)
+    pub fn is_abandoned(&self, request: name::Request) -> bool {
+        request.incarnation == self.incarnation && self.abandoned.contains(&request.sequence)
     }
 }
--- a/crates/core/src/once/claiming/tests.rs
+++ b/crates/core/src/once/claiming/tests.rs
@@ -4,13 +4,13 @@
 use crate::name::{Incarnation, Request};
 use crate::once::Digest;
 
-const SOON: Millis = Millis(200);
+const REFUSED_DEADLINE: Millis = Millis(200);
 const DEADLINE: Millis = Millis(1_000);
 
 /// This life's submission, one that it gave up, one that it may have sent, and
 /// another life's.
 const OWN: Request = request(1, 9);
-const GIVEN_UP: Request = request(1, 3);
+const ABANDONED: Request = request(1, 3);
 const SENT: Request = request(1, 4);
 const OTHER: Request = request(2, 9);
 
@@ -36,14 +36,14 @@
 enum Input {
     Written(Written),
     Seen(Option<Request>),
-    Unseen,
+    ReadFailed,
     /// From here on the sooner time has passed.
-    Soon,
+    RefusedDeadlinePassed,
     /// From here on the deadline has passed.
-    Late,
+    DeadlinePassed,
 }
 
-use Input::{Late, Seen, Soon, Unseen};
+use Input::{DeadlinePassed, ReadFailed, RefusedDeadlinePassed, Seen};
 
 const COMMITTED: Input = Input::Written(Written::Committed(5));
 const CONFLICT: Input = Input::Written(Written::Conflict);
@@ -51,83 +51,83 @@
 const UNAVAILABLE: Input = Input::Written(Written::Unavailable);
 
 fn play(script: &[Input]) -> String {
-    let mut notes = Notes::new(Incarnation(1));
-    notes.give_up(GIVEN_UP);
-    let (mut claiming, first) = Claiming::new(OWN, SOON, DEADLINE);
+    let mut abandoned = AbandonedRequests::new(Incarnation(1));
+    abandoned.abandon(ABANDONED);
+    let (mut claiming, first) = Claiming::new(OWN, REFUSED_DEADLINE, DEADLINE);
     let mut told = vec![short(&first)];
     let mut now = Millis::ZERO;
     for input in script {
         let step = match *input {
-            Soon => {
-                now = SOON;
+            RefusedDeadlinePassed => {
+                now = REFUSED_DEADLINE;
                 continue;
             }
-            Late => {
+            DeadlinePassed => {
                 now = DEADLINE;
                 continue;
             }
-            Input::Written(written) => claiming.written(now, written),
-            Seen(request) => claiming.seen(now, request.map(row), &notes),
-            Unseen => claiming.unseen(now),
+            Input::Written(written) => claiming.on_write(now, written),
+            Seen(request) => claiming.on_read(now, request.map(row), &abandoned),
+            ReadFailed => claiming.on_read_error(now),
         };
         told.push(short(&step));
     }
     told.join(" ")
 }
 
-fn short(step: &Step<Settled>) -> String {
+fn short(step: &Step<ClaimOutcome>) -> String {
     match step {
         Step::Write { over, after } => format!("write({over})+{}", after.0),
         Step::Read { after } => format!("read+{}", after.0),
-        Step::Done(Settled::Mine(version)) => format!("mine({version})"),
-        Step::Done(Settled::Held(claim)) => format!("held({})", claim.request.sequence),
-        Step::Done(Settled::Unsettled { may_stand }) => format!("unsettled({may_stand})"),
+        Step::Done(ClaimOutcome::Acquired(version)) => format!("acquired({version})"),
+        Step::Done(ClaimOutcome::Held(claim)) => format!("held({})", claim.request.sequence),
+        Step::Done(ClaimOutcome::Unresolved { may_exist }) => format!("unresolved({may_exist})"),
     }
 }
 
 #[rstest]
-#[case::acknowledged(&[COMMITTED], "write(0)+0 mine(5)")]
+#[case::acknowledged(&[COMMITTED], "write(0)+0 acquired(5)")]
 #[case::held_elsewhere(&[CONFLICT, Seen(Some(OTHER))], "write(0)+0 read+0 held(9)")]
 #[case::held_by_this_life(&[CONFLICT, Seen(Some(SENT))], "write(0)+0 read+0 held(4)")]
-#[case::acknowledgement_lost(&[UNKNOWN, Seen(Some(OWN))], "write(0)+0 read+0 mine(77)")]
-#[case::request_lost(&[UNKNOWN, Seen(None), COMMITTED], "write(0)+0 read+0 write(0)+10 mine(5)")]
+#[case::acknowledgement_lost(&[UNKNOWN, Seen(Some(OWN))], "write(0)+0 read+0 acquired(77)")]
+#[case::request_lost(&[UNKNOWN, Seen(None), COMMITTED], "write(0)+0 read+0 write(0)+10 acquired(5)")]
 #[case::lost_to_another(&[UNKNOWN, Seen(Some(OTHER))], "write(0)+0 read+0 held(9)")]
 #[case::lands_after_the_read(
     &[UNKNOWN, Seen(None), CONFLICT, Seen(Some(OWN))],
-    "write(0)+0 read+0 write(0)+10 read+0 mine(77)"
+    "write(0)+0 read+0 write(0)+10 read+0 acquired(77)"
 )]
 #[case::given_up_before(
-    &[CONFLICT, Seen(Some(GIVEN_UP)), COMMITTED],
-    "write(0)+0 read+0 write(77)+10 mine(5)"
+    &[CONFLICT, Seen(Some(ABANDONED)), COMMITTED],
+    "write(0)+0 read+0 write(77)+10 acquired(5)"
 )]
 #[case::given_up_and_just_deleted(
-    &[CONFLICT, Seen(Some(GIVEN_UP)), CONFLICT, Seen(None), COMMITTED],
-    "write(0)+0 read+0 write(77)+10 read+0 write(0)+20 mine(5)"
+    &[CONFLICT, Seen(Some(ABANDONED)), CONFLICT, Seen(None), COMMITTED],
+    "write(0)+0 read+0 write(77)+10 read+0 write(0)+20 acquired(5)"
 )]
 #[case::given_up_then_taken(
-    &[CONFLICT, Seen(Some(GIVEN_UP)), CONFLICT, Seen(Some(OTHER))],
+    &[CONFLICT, Seen(Some(ABANDONED)), CONFLICT, Seen(Some(OTHER))],
     "write(0)+0 read+0 write(77)+10 read+0 held(9)"
 )]
 #[case::out_for_a_moment(
     &[UNAVAILABLE, UNAVAILABLE, COMMITTED],
-    "write(0)+0 write(0)+10 write(0)+20 mine(5)"
+    "write(0)+0 write(0)+10 write(0)+20 acquired(5)"
 )]
-#[case::out(&[UNAVAILABLE, Soon, UNAVAILABLE], "write(0)+0 write(0)+10 unsettled(false)")]
+#[case::out(&[UNAVAILABLE, RefusedDeadlinePassed, UNAVAILABLE], "write(0)+0 write(0)+10 unresolved(false)")]
 #[case::slow(
-    &[Soon, UNKNOWN, Seen(None), COMMITTED],
-    "write(0)+0 read+0 write(0)+10 mine(5)"
+    &[RefusedDeadlinePassed, UNKNOWN, Seen(None), COMMITTED],
+    "write(0)+0 read+0 write(0)+10 acquired(5)"
 )]
-#[case::busy(&[Soon, CONFLICT, Seen(Some(OTHER))], "write(0)+0 read+0 held(9)")]
+#[case::busy(&[RefusedDeadlinePassed, CONFLICT, Seen(Some(OTHER))], "write(0)+0 read+0 held(9)")]
 #[case::out_after_an_unknown_write(
-    &[UNKNOWN, Unseen, Late, Unseen],
-    "write(0)+0 read+0 read+10 unsettled(true)"
+    &[UNKNOWN, ReadFailed, DeadlinePassed, ReadFailed],
+    "write(0)+0 read+0 read+10 unresolved(true)"
 )]
-#[case::read_back_late(&[UNKNOWN, Late, Seen(Some(OWN))], "write(0)+0 read+0 mine(77)")]
-#[case::absent_late(&[UNKNOWN, Late, Seen(None)], "write(0)+0 read+0 unsettled(true)")]
-#[case::acknowledged_late(&[Late, COMMITTED], "write(0)+0 mine(5)")]
+#[case::read_back_late(&[UNKNOWN, DeadlinePassed, Seen(Some(OWN))], "write(0)+0 read+0 acquired(77)")]
+#[case::absent_late(&[UNKNOWN, DeadlinePassed, Seen(None)], "write(0)+0 read+0 unresolved(true)")]
+#[case::acknowledged_late(&[DeadlinePassed, COMMITTED], "write(0)+0 acquired(5)")]
 #[case::stale_reads_to_the_end(
-    &[CONFLICT, Seen(None), CONFLICT, Late, Seen(None)],
-    "write(0)+0 read+0 write(0)+10 read+0 unsettled(false)"
+    &[CONFLICT, Seen(None), CONFLICT, DeadlinePassed, Seen(None)],
+    "write(0)+0 read+0 write(0)+10 read+0 unresolved(false)"
 )]
 fn settles(#[case] script: &[Input], #[case] told: &str) {
     assert_eq!(play(script), told);
--- a/crates/core/src/once/closing.rs
+++ b/crates/core/src/once/closing.rs
@@ -2,13 +2,13 @@
 
 use crate::clock::Millis;
 use crate::name;
-use crate::once::step::longer;
+use crate::once::step::doubled;
 use crate::once::{Row, Step, Written};
 
 /// The wait after a refused or failed call; it doubles with each further one.
-const FIRST_WAIT: Millis = Millis(50);
+const INITIAL_WAIT: Millis = Millis(50);
 /// The longest wait: nobody waits for the end of it.
-const LONGEST_WAIT: Millis = Millis(5_000);
+const MAX_WAIT: Millis = Millis(5_000);
 
 /// Changes the row of one's own claim, however long the table service is out.
 ///
@@ -26,7 +26,7 @@
     pub fn new(request: name::Request, version: Option<u64>) -> (Self, Step<()>) {
         let closing = Self {
             request,
-            wait: FIRST_WAIT,
+            wait: INITIAL_WAIT,
             over: version.unwrap_or(0),
         };
         let after = Millis::ZERO;
@@ -38,7 +38,7 @@
     }
 
     /// Takes in what became of the write.
-    pub fn written(&mut self, written: Written) -> Step<()> {
+    pub fn on_write(&mut self, written: Written) -> Step<()> {
         match written {
             Written::Committed(_) => Step::Done(()),
             Written::Conflict | Written::Unknown => Step::Read {
@@ -52,7 +52,7 @@
     }
 
     /// Takes in the row, none if there is none.
-    pub fn seen(&mut self, row: Option<&Row>) -> Step<()> {
+    pub fn on_read(&mut self, row: Option<&Row>) -> Step<()> {
         let own = row.filter(|row| row.claim.request == self.request);
         match own {
             Some(row) if row.claim.end.is_none() => {
@@ -68,7 +68,7 @@
     }
 
     /// Takes in that the row could not be read.
-    pub fn unseen(&mut self) -> Step<()> {
+    pub fn on_read_error(&mut self) -> Step<()> {
         Step::Read {
             after: self.next_wait(),
         }
@@ -76,7 +76,7 @@
 
     fn next_wait(&mut self) -> Millis {
         let wait = self.wait;
-        self.wait = longer(wait, LONGEST_WAIT);
+        self.wait = doubled(wait, MAX_WAIT);
         wait
     }
 }
--- a/crates/core/src/once/closing/tests.rs
+++ b/crates/core/src/once/closing/tests.rs
@@ -31,10 +31,10 @@
     Nothing,
     Open(name::Request),
     Ended,
-    Unseen,
+    ReadFailed,
 }
 
-use Input::{Ended, Nothing, Open, Unseen};
+use Input::{Ended, Nothing, Open, ReadFailed};
 
 const COMMITTED: Input = Input::Written(Written::Committed(0));
 const CONFLICT: Input = Input::Written(Written::Conflict);
@@ -47,11 +47,11 @@
     let ended = row(OWN, Some(End::Complete { kept: true }));
     for input in script {
         let step = match *input {
-            Input::Written(written) => closing.written(written),
-            Nothing => closing.seen(None),
-            Open(request) => closing.seen(Some(&row(request, None))),
-            Ended => closing.seen(Some(&ended)),
-            Unseen => closing.unseen(),
+            Input::Written(written) => closing.on_write(written),
+            Nothing => closing.on_read(None),
+            Open(request) => closing.on_read(Some(&row(request, None))),
+            Ended => closing.on_read(Some(&ended)),
+            ReadFailed => closing.on_read_error(),
         };
         told.push(short(&step));
     }
@@ -81,7 +81,7 @@
 #[case::written_over(Some(5), &[CONFLICT, Open(OTHER)], "write(5)+0 read+50 done")]
 #[case::out_for_long(
     Some(5),
-    &[UNAVAILABLE, UNAVAILABLE, UNKNOWN, Unseen, Open(OWN), COMMITTED],
+    &[UNAVAILABLE, UNAVAILABLE, UNKNOWN, ReadFailed, Open(OWN), COMMITTED],
     "write(5)+0 write(5)+50 write(5)+100 read+200 read+400 write(77)+0 done"
 )]
 fn closes(#[case] version: Option<u64>, #[case] script: &[Input], #[case] told: &str) {
@@ -91,11 +91,6 @@
 #[test]
 fn the_wait_is_bounded() {
     let (mut closing, _) = Closing::new(OWN, None);
-    let waits = (0..20).map(|_| closing.unseen());
-    assert_eq!(
-        waits.last(),
-        Some(Step::Read {
-            after: LONGEST_WAIT
-        })
-    );
+    let waits = (0..20).map(|_| closing.on_read_error());
+    assert_eq!(waits.last(), Some(Step::Read { after: MAX_WAIT }));
 }
--- a/crates/core/src/once/identity.rs
+++ b/crates/core/src/once/identity.rs
@@ -14,9 +14,9 @@
 /// How long after its issue an identity may be submitted first.
 pub const LIFETIME: Millis = Millis::from_secs(600);
 /// Keeps the key apart from the fleet key's other uses.
-const CONTEXT: &str = "woodgap 2026-01 identities issued by an entry";
+const KEY_CONTEXT: &str = "woodgap 2026-01 identities issued by an entry";
 /// Hexadecimal digits of the code that authenticates an identity: 128 bits.
-const CODE_DIGITS: usize = 32;
+const MAC_DIGITS: usize = 32;
 
 /// An identity that an entry has issued, as its text says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,24 +57,24 @@
 /// The text is no identity in the issued form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no identity that an entry has issued to this workspace")]
-pub struct Foreign;
+pub struct NotIssued;
 
 impl FromStr for Issued {
-    type Err = Foreign;
+    type Err = NotIssued;
 
-    fn from_str(text: &str) -> Result<Self, Foreign> {
-        let mut parts = text.strip_prefix(PREFIX).ok_or(Foreign)?.split('-');
-        let mut part = || parts.next().ok_or(Foreign);
-        let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| Foreign);
+    fn from_str(text: &str) -> Result<Self, NotIssued> {
+        let mut parts = text.strip_prefix(PREFIX).ok_or(NotIssued)?.split('-');
+        let mut part = || parts.next().ok_or(NotIssued);
+        let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| NotIssued);
         let issued = Self {
             issuer: name::Incarnation(number(part()?)?),
             sequence: number(part()?)?,
             at: Millis(number(part()?)?),
-            address: part()?.parse().map_err(|_| Foreign)?,
+            address: part()?.parse().map_err(|_| NotIssued)?,
         };
         match parts.next() {
             None => Ok(issued),
-            Some(_) => Err(Foreign),
+            Some(_) => Err(NotIssued),
         }
     }
 }
@@ -94,9 +94,9 @@
 ///     at: Millis(5),
 ///     address: "127.0.0.1:8080".parse().unwrap(),
 /// };
-/// let text = issuer.text(&issued, &"murphy".into());
-/// assert_eq!(issuer.check(&text, &"murphy".into()), Ok(issued));
-/// assert!(issuer.check(&text, &"kelly".into()).is_err());
+/// let text = issuer.encode(&issued, &"murphy".into());
+/// assert_eq!(issuer.verify(&text, &"murphy".into()), Ok(issued));
+/// assert!(issuer.verify(&text, &"kelly".into()).is_err());
 /// ```
 #[derive(Clone)]
 pub struct Issuer {
@@ -107,38 +107,38 @@
     /// An issuer of the fleet with this key.
     pub fn new(fleet_key: &[u8; 32]) -> Self {
         Self {
-            key: blake3::derive_key(CONTEXT, fleet_key),
+            key: blake3::derive_key(KEY_CONTEXT, fleet_key),
         }
     }
 
     /// The identity as its caller gets it: only visible ASCII, safe in a path.
-    pub fn text(&self, issued: &Issued, workspace: &name::Workspace) -> String {
+    pub fn encode(&self, issued: &Issued, workspace: &name::Workspace) -> String {
         let plain = issued.to_string();
-        let code = self.code(&plain, workspace);
-        format!("{plain}-{code}")
+        let mac = self.mac(&plain, workspace);
+        format!("{plain}-{mac}")
     }
 
     /// Reads an identity that some entry of the fleet issued to the workspace.
     ///
     /// # Errors
     ///
-    /// [`Foreign`] if none did.
-    pub fn check(&self, text: &str, workspace: &name::Workspace) -> Result<Issued, Foreign> {
-        let (plain, code) = text.rsplit_once('-').ok_or(Foreign)?;
-        let expected = self.code(plain, workspace);
-        if bool::from(expected.as_bytes().ct_eq(code.as_bytes())) {
+    /// [`NotIssued`] if none did.
+    pub fn verify(&self, text: &str, workspace: &name::Workspace) -> Result<Issued, NotIssued> {
+        let (plain, mac) = text.rsplit_once('-').ok_or(NotIssued)?;
+        let expected = self.mac(plain, workspace);
+        if bool::from(expected.as_bytes().ct_eq(mac.as_bytes())) {
             plain.parse()
         } else {
-            Err(Foreign)
+            Err(NotIssued)
         }
     }
 
-    fn code(&self, plain: &str, workspace: &name::Workspace) -> String {
+    fn mac(&self, plain: &str, workspace: &name::Workspace) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&(plain.len() as u64).to_le_bytes());
         hasher.update(plain.as_bytes());
         hasher.update(workspace.as_str().as_bytes());
-        hasher.finalize().to_hex()[..CODE_DIGITS].to_owned()
+        hasher.finalize().to_hex()[..MAC_DIGITS].to_owned()
     }
 }
 
--- a/crates/core/src/once/identity/tests.rs
+++ b/crates/core/src/once/identity/tests.rs
@@ -16,8 +16,8 @@
 #[case::version_6("[fd00::1]:8080")]
 fn an_identity_is_read_as_it_was_issued(#[case] address: &str) {
     let issuer = Issuer::new(&[1; 32]);
-    let text = issuer.text(&issued(address), &"murphy".into());
-    assert_eq!(issuer.check(&text, &"murphy".into()), Ok(issued(address)));
+    let text = issuer.encode(&issued(address), &"murphy".into());
+    assert_eq!(issuer.verify(&text, &"murphy".into()), Ok(issued(address)));
     assert!(text.bytes().all(|byte| byte.is_ascii_graphic()));
     assert!(text.len() <= 200);
 }
@@ -37,9 +37,9 @@
     #[case] key: [u8; 32],
     #[case] change: fn(String) -> String,
 ) {
-    let text = Issuer::new(&[1; 32]).text(&issued("10.1.1.11:8080"), &"murphy".into());
-    let checked = Issuer::new(&key).check(&change(text), &workspace.into());
-    assert_eq!(checked, Err(Foreign));
+    let text = Issuer::new(&[1; 32]).encode(&issued("10.1.1.11:8080"), &"murphy".into());
+    let checked = Issuer::new(&key).verify(&change(text), &workspace.into());
+    assert_eq!(checked, Err(NotIssued));
 }
 
 #[test]
--- a/crates/core/src/once/sightings.rs
+++ b/crates/core/src/once/sightings.rs
@@ -43,9 +43,9 @@
     /// The entry at this address has the identity.
     Found(SocketAddr),
     /// No life has sent it, or can.
-    Clear,
+    NotSent,
     /// A life that could have is gone, did not answer, or is not sure.
-    Doubt,
+    Inconclusive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,11 @@
     }
 
     /// Takes in the lives that are there now.
-    pub fn see(&mut self, now: Millis, lives: impl IntoIterator<Item = (Incarnation, SocketAddr)>) {
+    pub fn record(
+        &mut self,
+        now: Millis,
+        lives: impl IntoIterator<Item = (Incarnation, SocketAddr)>,
+    ) {
         for (life, address) in lives {
             if life != self.own {
                 let last = now;
@@ -83,7 +87,7 @@
     }
 
     /// Where to ask: every life that was seen within the horizon.
-    pub fn to_ask(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.seen.values().map(|sighting| sighting.address)
     }
 
@@ -93,7 +97,7 @@
     }
 
     /// What the answers come to.
-    pub fn find(&self, replies: &[Reply]) -> Finding {
+    pub fn evaluate(&self, replies: &[Reply]) -> Finding {
         let has = |reply: &&Reply| reply.knowledge == Knowledge::Has;
         let found = replies.iter().find(has);
         if let Some(sighting) = found.and_then(|reply| self.seen.get(&reply.life)) {
@@ -104,11 +108,11 @@
             *life == self.own
                 || replies.any(|one| one.life == *life && one.knowledge == Knowledge::None)
         };
-        let theirs = replies.iter().flat_map(|reply| &reply.seen);
-        if self.seen.keys().chain(theirs).all(cleared) {
-            Finding::Clear
+        let seen_by_peers = replies.iter().flat_map(|reply| &reply.seen);
+        if self.seen.keys().chain(seen_by_peers).all(cleared) {
+            Finding::NotSent
         } else {
-            Finding::Doubt
+            Finding::Inconclusive
         }
     }
 }
--- a/crates/core/src/once/sightings/tests.rs
+++ b/crates/core/src/once/sightings/tests.rs
@@ -32,25 +32,28 @@
 
 fn sightings() -> Sightings {
     let mut sightings = Sightings::new(Incarnation(OWN));
-    sightings.see(Millis(1), [OWN, A, B].map(life));
+    sightings.record(Millis(1), [OWN, A, B].map(life));
     sightings
 }
 
 #[rstest]
-#[case::all_answer(&[none(A, &[OWN, B]), none(B, &[OWN, A])], Finding::Clear)]
-#[case::one_is_silent(&[none(A, &[OWN, B])], Finding::Doubt)]
-#[case::one_is_another_life(&[none(A, &[]), none(B_BEFORE, &[])], Finding::Doubt)]
-#[case::one_saw_a_life_go(&[none(A, &[C]), none(B, &[])], Finding::Doubt)]
-#[case::one_saw_the_asker_before(&[none(A, &[0, OWN]), none(B, &[])], Finding::Doubt)]
-#[case::one_is_not_sure(&[none(A, &[]), reply(B, Knowledge::Unsure, &[])], Finding::Doubt)]
+#[case::all_answer(&[none(A, &[OWN, B]), none(B, &[OWN, A])], Finding::NotSent)]
+#[case::one_is_silent(&[none(A, &[OWN, B])], Finding::Inconclusive)]
+#[case::one_is_another_life(&[none(A, &[]), none(B_BEFORE, &[])], Finding::Inconclusive)]
+#[case::one_saw_a_life_go(&[none(A, &[C]), none(B, &[])], Finding::Inconclusive)]
+#[case::one_saw_the_asker_before(&[none(A, &[0, OWN]), none(B, &[])], Finding::Inconclusive)]
+#[case::one_is_not_sure(&[none(A, &[]), reply(B, Knowledge::Unsure, &[])], Finding::Inconclusive)]
 #[case::one_has_it(&[reply(B, Knowledge::Has, &[])], Finding::Found(life(B).1))]
 fn findings(#[case] replies: &[Reply], #[case] finding: Finding) {
-    assert_eq!(sightings().find(replies), finding);
+    assert_eq!(sightings().evaluate(replies), finding);
 }
 
 #[test]
 fn alone_there_is_no_doubt() {
-    assert_eq!(Sightings::new(Incarnation(OWN)).find(&[]), Finding::Clear);
+    assert_eq!(
+        Sightings::new(Incarnation(OWN)).evaluate(&[]),
+        Finding::NotSent
+    );
 }
 
 #[rstest]
@@ -59,8 +62,8 @@
 #[case::after_it(HORIZON + Millis(1), vec![A])]
 fn a_life_that_went_is_remembered(#[case] now: Millis, #[case] seen: Vec<u64>) {
     let mut sightings = sightings();
-    sightings.see(now, [life(A)]);
+    sightings.record(now, [life(A)]);
     let seen: Vec<Incarnation> = seen.into_iter().map(Incarnation).collect();
     assert_eq!(sightings.seen(), seen);
-    assert_eq!(sightings.to_ask().count(), seen.len());
+    assert_eq!(sightings.addresses().count(), seen.len());
 }
--- a/crates/core/src/once/step.rs
+++ b/crates/core/src/once/step.rs
@@ -45,6 +45,6 @@
 }
 
 /// Doubles a wait up to a bound.
-pub(super) fn longer(wait: Millis, longest: Millis) -> Millis {
-    Millis(wait.0 * 2).min(longest)
+pub(super) fn doubled(wait: Millis, max: Millis) -> Millis {
+    Millis(wait.0 * 2).min(max)
 }
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -24,7 +24,7 @@
 
 /// A revision that another entry has in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Newer {
+pub struct PeerRevision {
     /// The revision.
     pub revision: u64,
     /// Who has it.
@@ -41,9 +41,9 @@
 /// let mut tracker = Tracker::new(Millis(10_000));
 /// assert_eq!(tracker.standing(Millis(0)), Standing::Empty);
 /// tracker.applied(3);
-/// tracker.read(Millis(100));
+/// tracker.log_read(Millis(100));
 /// assert_eq!(tracker.standing(Millis(5_000)), Standing::Confirmed);
-/// tracker.heard(Millis(200), Incarnation(7), 4);
+/// tracker.peer_heard(Millis(200), Incarnation(7), 4);
 /// assert_eq!(tracker.newer().unwrap().revision, 4);
 /// ```
 #[derive(Clone, Debug)]
@@ -81,14 +81,14 @@
     ///
     /// A log that lacks what another entry has in force was read in an old
     /// state, and confirms nothing.
-    pub fn read(&mut self, asked: Millis) {
+    pub fn log_read(&mut self, asked: Millis) {
         if self.newer().is_none() {
             self.confirm(asked);
         }
     }
 
     /// Another entry is said to have a revision in force; confirms nothing.
-    pub fn news(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
+    pub fn peer_reported(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
         let known = self
             .others
             .get(&holder)
@@ -101,7 +101,7 @@
     /// Another entry was heard of first hand, with what it has in force.
     ///
     /// One that has no higher revision confirms ours; one that has is news.
-    pub fn heard(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
+    pub fn peer_heard(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
         self.others.insert(holder, (now, revision));
         if self.in_force.is_some_and(|in_force| revision <= in_force) {
             self.confirm(now);
@@ -120,15 +120,16 @@
     }
 
     /// The highest revision that another entry has and this one lacks.
-    pub fn newer(&self) -> Option<Newer> {
-        let ahead = |(holder, (_, revision)): (&name::Incarnation, &(Millis, u64))| Newer {
-            revision: *revision,
-            holder: *holder,
-        };
+    pub fn newer(&self) -> Option<PeerRevision> {
+        let peer_revision =
+            |(holder, (_, revision)): (&name::Incarnation, &(Millis, u64))| PeerRevision {
+                revision: *revision,
+                holder: *holder,
+            };
         let newest = self
             .others
             .iter()
-            .map(ahead)
+            .map(peer_revision)
             .max_by_key(|newer| newer.revision)?;
         self.in_force
             .is_none_or(|in_force| newest.revision > in_force)
--- a/crates/core/src/revision/exchange.rs
+++ b/crates/core/src/revision/exchange.rs
@@ -6,15 +6,15 @@
 use crate::clock::Millis;
 use crate::name;
 use crate::revision::message::{Change, Message, Part};
-use crate::revision::{Newer, Tracker};
+use crate::revision::{PeerRevision, Tracker};
 
 /// Changes kept to answer others; who is further behind gets everything. Some
 /// minutes of changes at 12,000 a day, and under 300 KB.
-const TAIL: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 /// Bytes of changes in one answer at most; who lacks more asks again.
-const ANSWER_BYTES: usize = 32 * 1024;
+const MAX_RESPONSE_BYTES: usize = 32 * 1024;
 /// How long an answer is waited for before another entry, or the same again, is asked.
-const ASK_AGAIN: Millis = Millis(300);
+const REQUEST_TIMEOUT: Millis = Millis(300);
 
 /// What the exchange wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// Send a message to an entry.
     Send(name::Incarnation, Message),
     /// Send everything that is in force to an entry.
-    SendAll(name::Incarnation),
+    SendSnapshot(name::Incarnation),
     /// Put changes in force, in their order.
     Apply(Vec<Change>),
     /// Put everything in force at once, in place of an older whole.
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug)]
 pub struct Exchange {
     tracker: Tracker,
-    tail: VecDeque<Change>,
+    recent: VecDeque<Change>,
     parts: BTreeMap<u32, Part>,
-    asked: Option<Millis>,
+    requested_at: Option<Millis>,
 }
 
 impl Exchange {
@@ -48,9 +48,9 @@
     pub fn new(limit: Millis) -> Self {
         Self {
             tracker: Tracker::new(limit),
-            tail: VecDeque::new(),
+            recent: VecDeque::new(),
             parts: BTreeMap::new(),
-            asked: None,
+            requested_at: None,
         }
     }
 
@@ -65,42 +65,42 @@
         if !self.tracker.applied(revision) {
             return;
         }
-        self.asked = None;
+        self.requested_at = None;
         for change in changes {
             let follows = self
-                .tail
+                .recent
                 .back()
                 .is_none_or(|last| last.revision + 1 == change.revision);
             if !follows {
-                self.tail.clear();
+                self.recent.clear();
             }
-            self.tail.push_back(change.clone());
+            self.recent.push_back(change.clone());
         }
         if self
-            .tail
+            .recent
             .back()
             .is_some_and(|last| last.revision != revision)
         {
-            self.tail.clear();
+            self.recent.clear();
         }
-        while self.tail.len() > TAIL {
-            self.tail.pop_front();
+        while self.recent.len() > MAX_RECENT_CHANGES {
+            self.recent.pop_front();
         }
     }
 
     /// The change log was read to its end; the read was sent at `asked`.
-    pub fn read(&mut self, asked: Millis) {
-        self.tracker.read(asked);
+    pub fn log_read(&mut self, asked: Millis) {
+        self.tracker.log_read(asked);
     }
 
     /// Another entry is said to have a revision in force, by whomever.
-    pub fn news(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
-        self.tracker.news(now, holder, revision);
+    pub fn peer_reported(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
+        self.tracker.peer_reported(now, holder, revision);
     }
 
     /// Another entry was heard of first hand.
-    pub fn heard(&mut self, now: Millis, from: name::Incarnation, revision: u64) {
-        self.tracker.heard(now, from, revision);
+    pub fn peer_heard(&mut self, now: Millis, from: name::Incarnation, revision: u64) {
+        self.tracker.peer_heard(now, from, revision);
     }
 
     /// Another entry's life ended.
@@ -110,19 +110,22 @@
 
     /// Asks for what is newer, if anything is.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let Some(Newer { holder, .. }) = self.tracker.newer() else {
+        let Some(PeerRevision { holder, .. }) = self.tracker.newer() else {
             return;
         };
-        if self.asked.is_some_and(|asked| now - asked < ASK_AGAIN) {
+        if self
+            .requested_at
+            .is_some_and(|requested_at| now - requested_at < REQUEST_TIMEOUT)
+        {
             return;
         }
-        self.asked = Some(now);
+        self.requested_at = Some(now);
         let after = self.tracker.in_force().unwrap_or(0);
         out.push(Action::Send(holder, Message::Want(after)));
     }
 
     /// Takes in a message of another entry.
-    pub fn message(
+    pub fn on_message(
         &mut self,
         now: Millis,
         from: name::Incarnation,
@@ -131,16 +134,16 @@
     ) {
         match message {
             Message::InForce(revision) => {
-                self.tracker.heard(now, from, revision);
+                self.tracker.peer_heard(now, from, revision);
                 self.tick(now, out);
             }
-            Message::Want(after) => self.want(from, after, out),
-            Message::Changes(changes) => self.changes(changes, out),
-            Message::Part(part) => self.part(part, out),
+            Message::Want(after) => self.on_want(from, after, out),
+            Message::Changes(changes) => self.on_changes(changes, out),
+            Message::Part(part) => self.on_part(part, out),
         }
     }
 
-    fn want(&self, from: name::Incarnation, after: u64, out: &mut Vec<Action>) {
+    fn on_want(&self, from: name::Incarnation, after: u64, out: &mut Vec<Action>) {
         if self
             .tracker
             .in_force()
@@ -149,7 +152,7 @@
             return;
         }
         let next = self
-            .tail
+            .recent
             .iter()
             .position(|change| change.revision == after + 1);
         match next {
@@ -157,10 +160,10 @@
                 let mut bytes = 0;
                 let fits = |change: &&Change| {
                     bytes += change.document.len();
-                    bytes <= ANSWER_BYTES || change.revision == after + 1
+                    bytes <= MAX_RESPONSE_BYTES || change.revision == after + 1
                 };
                 let changes = self
-                    .tail
+                    .recent
                     .iter()
                     .skip(next)
                     .take_while(fits)
@@ -168,11 +171,11 @@
                     .collect();
                 out.push(Action::Send(from, Message::Changes(changes)));
             }
-            _ => out.push(Action::SendAll(from)),
+            _ => out.push(Action::SendSnapshot(from)),
         }
     }
 
-    fn changes(&mut self, mut changes: Vec<Change>, out: &mut Vec<Action>) {
+    fn on_changes(&mut self, mut changes: Vec<Change>, out: &mut Vec<Action>) {
         let Some(in_force) = self.tracker.in_force() else {
             return;
         };
@@ -185,13 +188,13 @@
         }
     }
 
-    fn part(&mut self, part: Part, out: &mut Vec<Action>) {
+    fn on_part(&mut self, part: Part, out: &mut Vec<Action>) {
         let in_force = self.tracker.in_force();
         if in_force.is_some_and(|in_force| part.revision <= in_force) {
             return;
         }
-        let other = |kept: &Part| (kept.revision, kept.of) != (part.revision, part.of);
-        if self.parts.values().next().is_some_and(other) {
+        let differs = |kept: &Part| (kept.revision, kept.of) != (part.revision, part.of);
+        if self.parts.values().next().is_some_and(differs) {
             self.parts.clear();
         }
         let (revision, of) = (part.revision, part.of);
--- a/crates/core/src/revision/exchange/tests.rs
+++ b/crates/core/src/revision/exchange/tests.rs
@@ -32,9 +32,9 @@
 #[case::everything(0, None)]
 fn an_entry_answers_what_is_wanted(#[case] after: u64, #[case] expected: Option<Vec<u64>>) {
     let mut out = Vec::new();
-    with(1..=5).message(Millis::ZERO, Incarnation(2), Message::Want(after), &mut out);
+    with(1..=5).on_message(Millis::ZERO, Incarnation(2), Message::Want(after), &mut out);
     let sent = match out.pop() {
-        Some(Action::SendAll(_)) => None,
+        Some(Action::SendSnapshot(_)) => None,
         Some(Action::Send(_, Message::Changes(changes))) => {
             Some(changes.iter().map(|change| change.revision).collect())
         }
@@ -47,14 +47,14 @@
 #[test]
 fn who_lacks_more_than_the_tail_gets_everything() {
     let mut out = Vec::new();
-    with(1..=1_000).message(Millis::ZERO, Incarnation(2), Message::Want(10), &mut out);
-    assert_eq!(out, [Action::SendAll(Incarnation(2))]);
+    with(1..=1_000).on_message(Millis::ZERO, Incarnation(2), Message::Want(10), &mut out);
+    assert_eq!(out, [Action::SendSnapshot(Incarnation(2))]);
 }
 
 #[test]
 fn a_gap_is_not_applied() {
     let mut out = Vec::new();
-    with(1..=3).message(
+    with(1..=3).on_message(
         Millis::ZERO,
         Incarnation(2),
         Message::Changes(vec![change(5)]),
@@ -68,7 +68,7 @@
     let mut out = Vec::new();
     let mut exchange = with(1..=8);
     for part in parts(7, vec!["x".to_owned()]) {
-        exchange.message(Millis::ZERO, Incarnation(2), Message::Part(part), &mut out);
+        exchange.on_message(Millis::ZERO, Incarnation(2), Message::Part(part), &mut out);
     }
     assert!(out.is_empty());
 }
@@ -76,14 +76,14 @@
 #[test]
 fn what_is_said_to_be_in_force_is_asked_for_at_once() {
     let mut out = Vec::new();
-    with(1..=3).message(Millis::ZERO, Incarnation(2), Message::InForce(4), &mut out);
+    with(1..=3).on_message(Millis::ZERO, Incarnation(2), Message::InForce(4), &mut out);
     assert_eq!(out, [Action::Send(Incarnation(2), Message::Want(3))]);
 }
 
 #[test]
 fn one_without_an_answer_is_asked_again_and_not_sooner() {
     let mut exchange = with(1..=3);
-    exchange.heard(Millis(0), Incarnation(2), 4);
+    exchange.peer_heard(Millis(0), Incarnation(2), 4);
     let mut asked = Vec::new();
     for now in (0..=900).step_by(50) {
         let mut out = Vec::new();
@@ -111,7 +111,7 @@
         for action in out {
             match action {
                 Action::Send(to, message) => network.push((index, to_index(to), message)),
-                Action::SendAll(to) => {
+                Action::SendSnapshot(to) => {
                     let revision = self.exchange.tracker().in_force().unwrap_or(0);
                     let all = parts(revision, (1..=revision).map(|_| "d".repeat(9_000)));
                     network.extend(
@@ -177,7 +177,7 @@
     for (index, node) in nodes.iter_mut().enumerate() {
         for (other, revision) in (0_u64..).zip(&revisions) {
             if let Some(revision) = revision.filter(|_| to_index(Incarnation(other)) != index) {
-                node.exchange.heard(now, Incarnation(other), revision);
+                node.exchange.peer_heard(now, Incarnation(other), revision);
             }
         }
         let mut out = Vec::new();
@@ -196,7 +196,7 @@
         let (from, to, message) = message;
         let from = Incarnation(u64::try_from(from).unwrap());
         let mut out = Vec::new();
-        nodes[to].exchange.message(now, from, message, &mut out);
+        nodes[to].exchange.on_message(now, from, message, &mut out);
         nodes[to].carry_out(to, out, network);
     }
 }
--- a/crates/core/src/revision/message.rs
+++ b/crates/core/src/revision/message.rs
@@ -38,7 +38,7 @@
 }
 
 /// Documents' bytes in one part: well below what one frame of a stream takes.
-const PART_BYTES: usize = 32 * 1024;
+const MAX_PART_BYTES: usize = 32 * 1024;
 
 /// Splits a snapshot into parts.
 ///
@@ -54,7 +54,7 @@
     let mut groups: Vec<Vec<String>> = vec![Vec::new()];
     let mut bytes = 0;
     for document in documents {
-        if bytes + document.len() > PART_BYTES && bytes > 0 {
+        if bytes + document.len() > MAX_PART_BYTES && bytes > 0 {
             groups.push(Vec::new());
             bytes = 0;
         }
--- a/crates/core/src/revision/tests.rs
+++ b/crates/core/src/revision/tests.rs
@@ -35,8 +35,8 @@
             Applied(revision) => {
                 tracker.applied(revision);
             }
-            Read(at) => tracker.read(Millis(at)),
-            Heard(at, revision) => tracker.heard(Millis(at), PEER, revision),
+            Read(at) => tracker.log_read(Millis(at)),
+            Heard(at, revision) => tracker.peer_heard(Millis(at), PEER, revision),
         }
     }
     assert_eq!(tracker.standing(Millis(now)), expected);
@@ -55,8 +55,8 @@
 fn the_newest_of_the_others_is_asked_until_its_life_ends() {
     let mut tracker = Tracker::new(LIMIT);
     tracker.applied(2);
-    tracker.heard(Millis(0), Incarnation(1), 3);
-    tracker.heard(Millis(0), Incarnation(2), 4);
+    tracker.peer_heard(Millis(0), Incarnation(1), 3);
+    tracker.peer_heard(Millis(0), Incarnation(2), 4);
     assert_eq!(
         tracker.newer().map(|newer| newer.holder),
         Some(Incarnation(2))
--- a/crates/core/tests/once/world.rs
+++ b/crates/core/tests/once/world.rs
@@ -2,7 +2,9 @@
 
 use woodgap_core::clock::Millis;
 use woodgap_core::name::{Incarnation, Request};
-use woodgap_core::once::{Claim, Claiming, Closing, Digest, Notes, Row, Settled, Step, Written};
+use woodgap_core::once::{
+    AbandonedRequests, Claim, ClaimOutcome, Claiming, Closing, Digest, Row, Step, Written,
+};
 
 const PATIENCE: Millis = Millis(1_000);
 
@@ -45,11 +47,11 @@
 
 #[derive(Clone, Debug)]
 enum Phase {
-    Claiming(Claiming, Step<Settled>),
+    Claiming(Claiming, Step<ClaimOutcome>),
     /// May be sent; the row has this version.
     Licensed(u64),
     Held(Claim),
-    Unsettled,
+    Unresolved,
     Ended(&'static str),
 }
 
@@ -60,7 +62,7 @@
 
 struct Life {
     incarnation: Incarnation,
-    notes: Notes,
+    abandoned: AbandonedRequests,
     /// The one submission that others at this life attach to.
     current: Option<usize>,
     closings: Vec<(Closing, Request, Step<()>)>,
@@ -155,7 +157,7 @@
         life: usize,
         index: usize,
         mut claiming: Claiming,
-        step: &Step<Settled>,
+        step: &Step<ClaimOutcome>,
         write: Write,
         stale: usize,
     ) {
@@ -163,21 +165,21 @@
         let next = match step {
             Step::Write { over, .. } => {
                 let written = self.write((*over, Some(claim(request))), write);
-                claiming.written(self.now, written)
+                claiming.on_write(self.now, written)
             }
             Step::Read { .. } => match self.read(write, stale) {
-                Ok(row) => claiming.seen(self.now, row, &self.lives[life].notes),
-                Err(()) => claiming.unseen(self.now),
+                Ok(row) => claiming.on_read(self.now, row, &self.lives[life].abandoned),
+                Err(()) => claiming.on_read_error(self.now),
             },
             Step::Done(_) => return,
         };
         self.submissions[index].phase = match next {
-            Step::Done(Settled::Mine(version)) => Phase::Licensed(version),
-            Step::Done(Settled::Held(claim)) => Phase::Held(claim),
-            Step::Done(Settled::Unsettled { .. }) => {
-                self.lives[life].notes.give_up(request);
+            Step::Done(ClaimOutcome::Acquired(version)) => Phase::Licensed(version),
+            Step::Done(ClaimOutcome::Held(claim)) => Phase::Held(claim),
+            Step::Done(ClaimOutcome::Unresolved { .. }) => {
+                self.lives[life].abandoned.abandon(request);
                 self.lives[life].close(request, None);
-                Phase::Unsettled
+                Phase::Unresolved
             }
             step => Phase::Claiming(claiming, step),
         };
@@ -193,10 +195,10 @@
         stale: usize,
     ) {
         let next = match step {
-            Step::Write { over, .. } => closing.written(self.write((*over, None), write)),
+            Step::Write { over, .. } => closing.on_write(self.write((*over, None), write)),
             Step::Read { .. } => match self.read(write, stale) {
-                Ok(row) => closing.seen(row.as_ref()),
-                Err(()) => closing.unseen(),
+                Ok(row) => closing.on_read(row.as_ref()),
+                Err(()) => closing.on_read_error(),
             },
             Step::Done(()) => return,
         };
@@ -262,7 +264,7 @@
     fn shed(&mut self, life: usize) {
         self.licensed(life, |world, index, version| {
             let request = world.submissions[index].request;
-            world.lives[life].notes.give_up(request);
+            world.lives[life].abandoned.abandon(request);
             world.lives[life].close(request, Some(version));
             world.not_run(life, index);
         });
@@ -290,7 +292,7 @@
         };
         match self.submissions[index].phase.clone() {
             Phase::Held(claim) => self.ask_holder(life, index, &claim, answers),
-            Phase::Unsettled => self.ask_all(life, index, answers),
+            Phase::Unresolved => self.ask_all(life, index, answers),
             _ => {}
         }
     }
@@ -300,7 +302,7 @@
         let holder = lives.position(|life| life.incarnation == claim.holder());
         let holder = holder.filter(|_| answers);
         match holder {
-            Some(holder) if self.lives[holder].notes.gave_up(claim.request) => {
+            Some(holder) if self.lives[holder].abandoned.is_abandoned(claim.request) => {
                 self.lives[holder].close(claim.request, None);
                 let request = self.submissions[index].request;
                 let (claiming, first) =
@@ -345,7 +347,7 @@
         let incarnation = Incarnation(incarnation);
         Self {
             incarnation,
-            notes: Notes::new(incarnation),
+            abandoned: AbandonedRequests::new(incarnation),
             current: None,
             closings: Vec::new(),
         }
@@ -363,7 +365,7 @@
             Self::Claiming(..) => "claiming",
             Self::Licensed(_) => "licensed",
             Self::Held(_) => "held",
-            Self::Unsettled => "unsettled",
+            Self::Unresolved => "unsettled",
             Self::Ended(told) => told,
         }
     }
--- a/crates/entry/src/caller/identities.rs
+++ b/crates/entry/src/caller/identities.rs
@@ -30,7 +30,10 @@
         address: shared.once.address,
     };
     Ok(Json(Identity {
-        identity: shared.once.issuer.text(&issued, &authority.workspace.name),
+        identity: shared
+            .once
+            .issuer
+            .encode(&issued, &authority.workspace.name),
         url: format!("http://{}", issued.address),
     }))
 }
--- a/crates/entry/src/deferred/shard.rs
+++ b/crates/entry/src/deferred/shard.rs
@@ -165,21 +165,22 @@
             return;
         }
         let entries = (self.around.entries)();
-        self.duty.rank(self.shard.rank(&self.own.entry, &entries));
+        self.duty
+            .set_rank(self.shard.rank(&self.own.entry, &entries));
         let Ok(rows) = self.store.look(self.shard, &self.after).await else {
             self.look_at = self.time.now() + PAUSE.max(self.bounds.poll);
             return;
         };
         let now = self.time.now();
         self.duty
-            .looked(now, !rows.is_empty() || !self.after.is_empty());
+            .record_poll(now, !rows.is_empty() || !self.after.is_empty());
         // A full page goes on at the next look; another one begins anew.
         self.after = match rows.last() {
             Some(last) if rows.len() == Scan::MOST => last.key.clone(),
             _ => String::new(),
         };
         self.rows = rows;
-        self.look_at = now + self.duty.look_every();
+        self.look_at = now + self.duty.poll_interval();
     }
 
     fn say_what_is_wanted(&mut self) {
@@ -208,7 +209,7 @@
     /// Gives the lease back, so that another entry can go on at once.
     async fn give_back(&self) {
         self.hold.want(Want::Release);
-        while self.hold.view() != View::Away {
+        while self.hold.view() != View::NotHeld {
             self.hold.changed().await;
         }
     }
--- a/crates/entry/src/deferred/shard/start.rs
+++ b/crates/entry/src/deferred/shard/start.rs
@@ -21,7 +21,7 @@
         let (Ok(fence), false) = (self.hold.check(), self.stopping()) else {
             return false;
         };
-        if !self.duty.starts(self.time.now()) {
+        if !self.duty.may_start(self.time.now()) {
             return false;
         }
         let under = Under {
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -35,7 +35,7 @@
 
 use woodgap_core::name;
 use woodgap_core::once::sightings::Reply;
-use woodgap_core::once::{Issuer, Key, Notes, Sightings};
+use woodgap_core::once::{AbandonedRequests, Issuer, Key, Sightings};
 use woodgap_settings::entry::Entry as Settings;
 
 use crate::once::registry::Registry;
@@ -55,7 +55,7 @@
     room: Arc<Room>,
     answer_bytes: usize,
     registry: Mutex<Registry>,
-    notes: Mutex<Notes>,
+    notes: Mutex<AbandonedRequests>,
     sightings: Mutex<Sightings>,
     closings: AtomicUsize,
 }
@@ -72,7 +72,7 @@
             room: Arc::new(Room::new(limits.answers_kept_bytes)),
             answer_bytes: limits.answer_bytes,
             registry: Mutex::new(Registry::new(limits.answers_kept)),
-            notes: Mutex::new(Notes::new(life)),
+            notes: Mutex::new(AbandonedRequests::new(life)),
             sightings: Mutex::new(Sightings::new(life)),
             closings: AtomicUsize::new(0),
         }
@@ -89,7 +89,7 @@
     }
 
     /// The submissions that were given up unsent.
-    pub fn notes(&self) -> MutexGuard<'_, Notes> {
+    pub fn notes(&self) -> MutexGuard<'_, AbandonedRequests> {
         lock(&self.notes)
     }
 
@@ -124,7 +124,7 @@
         .filter(|member| member.standing != woodgap_core::membership::Standing::Gone);
     let lives = there.map(|member| (member.incarnation, member.http));
     let now = shared.clock.now();
-    shared.once.sightings().see(now, lives);
+    shared.once.sightings().record(now, lives);
 }
 
 /// All that is kept under these locks is whole at any time.
--- a/crates/entry/src/once/claims.rs
+++ b/crates/entry/src/once/claims.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::once::{Claim, Claiming, Closing, End, Key, Row, Settled, Step};
+use woodgap_core::once::{Claim, ClaimOutcome, Claiming, Closing, End, Key, Row, Step};
 use woodgap_platform::table::{self, Place};
 
 use crate::once::Record;
@@ -68,7 +68,7 @@
 }
 
 /// Claims a record's identity for its submission.
-pub async fn claim(worker: &Worker, record: &Record) -> Settled {
+pub async fn claim(worker: &Worker, record: &Record) -> ClaimOutcome {
     let shared = &worker.shared;
     let patience = Millis(shared.settings.platform.timeout.0 * TIMEOUTS);
     let now = shared.clock.now();
@@ -85,15 +85,15 @@
                     value: encode(&claim_of(worker, record, None)),
                 };
                 let written = shared.once.table.write(change, true).await;
-                claiming.written(shared.clock.now(), written)
+                claiming.on_write(shared.clock.now(), written)
             }
             Step::Read { after } => {
                 pause(after).await;
                 let row = read(worker, &record.key).await;
                 let now = shared.clock.now();
                 match row {
-                    Ok(row) => claiming.seen(now, row, &shared.once.notes()),
-                    Err(Unreadable) => claiming.unseen(now),
+                    Ok(row) => claiming.on_read(now, row, &shared.once.notes()),
+                    Err(Unreadable) => claiming.on_read_error(now),
                 }
             }
         }
@@ -123,13 +123,13 @@
                 };
                 // A caller may come back for what is deleted; an end can wait.
                 let urgent = claim.is_none();
-                closing.written(worker.shared.once.table.write(change, urgent).await)
+                closing.on_write(worker.shared.once.table.write(change, urgent).await)
             }
             Step::Read { after } => {
                 pause(after).await;
                 match read(worker, key).await {
-                    Ok(row) => closing.seen(row.as_ref()),
-                    Err(Unreadable) => closing.unseen(),
+                    Ok(row) => closing.on_read(row.as_ref()),
+                    Err(Unreadable) => closing.on_read_error(),
                 }
             }
         }
--- a/crates/entry/src/once/find.rs
+++ b/crates/entry/src/once/find.rs
@@ -87,7 +87,7 @@
 
 fn not_found(read: Result<(), Unreadable>, finding: Finding) -> Problem {
     match (read, finding) {
-        (Ok(()), Finding::Clear) => unknown_identity(Verdict::NotRun),
+        (Ok(()), Finding::NotSent) => unknown_identity(Verdict::NotRun),
         (Ok(()), _) => unknown_identity(Verdict::MayHaveRun),
         (Err(Unreadable), _) => submit::in_doubt(),
     }
--- a/crates/entry/src/once/internal.rs
+++ b/crates/entry/src/once/internal.rs
@@ -97,7 +97,7 @@
 /// A submission that is not known was given up unsent, or is forgotten.
 async fn unknown(worker: &Worker, key: &Key, request: Option<name::Request>) -> Answer {
     let once = &worker.shared.once;
-    let given_up = request.filter(|request| once.notes().gave_up(*request));
+    let given_up = request.filter(|request| once.notes().is_abandoned(*request));
     let Some(request) = given_up else {
         return Answer::Short(Frame::Missing);
     };
@@ -124,7 +124,7 @@
 async fn take(worker: &Worker, submission: Submission) -> Result<Option<Reader>, Problem> {
     let shared = &worker.shared;
     let key = submission.key;
-    let issued = shared.once.issuer.check(&key.identity, &key.workspace);
+    let issued = shared.once.issuer.verify(&key.identity, &key.workspace);
     if issued.ok().map(|issued| issued.issuer) != Some(shared.incarnation) {
         return Ok(None);
     }
--- a/crates/entry/src/once/peer.rs
+++ b/crates/entry/src/once/peer.rs
@@ -113,7 +113,7 @@
 pub async fn inquire(worker: &Worker, key: &Key) -> Finding {
     let once = &worker.shared.once;
     super::see(&worker.shared);
-    let addresses: Vec<SocketAddr> = once.sightings().to_ask().collect();
+    let addresses: Vec<SocketAddr> = once.sightings().addresses().collect();
     let question = Question::Know(key.clone());
     let asked = addresses.iter().map(|address| {
         let asking = ask(worker, *address, &question);
@@ -127,5 +127,5 @@
             _ => None,
         })
         .collect();
-    once.sightings().find(&replies)
+    once.sightings().evaluate(&replies)
 }
--- a/crates/entry/src/once/recorder.rs
+++ b/crates/entry/src/once/recorder.rs
@@ -80,7 +80,7 @@
     /// The submission is never sent from here, also if its claim turns out to stand.
     pub fn give_up(&self) {
         let once = &self.worker.shared.once;
-        once.notes().give_up(self.record.request);
+        once.notes().abandon(self.record.request);
         self.record.enter(Phase::GivenUp);
     }
 
--- a/crates/entry/src/once/submit.rs
+++ b/crates/entry/src/once/submit.rs
@@ -6,7 +6,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
 use woodgap_core::once::sightings::Finding;
-use woodgap_core::once::{Digest, Issued, Key, Settled, identity};
+use woodgap_core::once::{ClaimOutcome, Digest, Issued, Key, identity};
 use woodgap_core::verdict::Verdict;
 
 use crate::once::follow::Opened;
@@ -98,7 +98,7 @@
         .shared
         .once
         .issuer
-        .check(&key.identity, &key.workspace);
+        .verify(&key.identity, &key.workspace);
     checked.map_err(|foreign| Problem::not_run(Code::BadRequest, foreign.to_string()))
 }
 
@@ -159,10 +159,10 @@
 async fn claim(worker: Worker, head: Head, recorder: Recorder) {
     for _ in 0..ROUNDS {
         match claims::claim(&worker, recorder.record()).await {
-            Settled::Mine(version) => {
+            ClaimOutcome::Acquired(version) => {
                 return send(worker, head, recorder, Role::Claimed(version)).await;
             }
-            Settled::Held(claim) => {
+            ClaimOutcome::Held(claim) => {
                 let record = recorder.record();
                 let opened = follow::claimed(&worker, &record.key, claim, Some(&record.body)).await;
                 if follow::feed(&recorder, opened).await {
@@ -171,12 +171,12 @@
                         .shared
                         .once
                         .notes()
-                        .give_up(recorder.record().request);
+                        .abandon(recorder.record().request);
                     return;
                 }
             }
-            Settled::Unsettled { may_stand } => {
-                return unsettled(&worker, &head, &recorder, may_stand).await;
+            ClaimOutcome::Unresolved { may_exist } => {
+                return unsettled(&worker, &head, &recorder, may_exist).await;
             }
         }
     }
@@ -185,15 +185,15 @@
 
 /// The claim can't be settled: the submission is given up, and its caller is told
 /// "not run" only if no life may have run an earlier one.
-async fn unsettled(worker: &Worker, head: &Head, recorder: &Recorder, may_stand: bool) {
+async fn unsettled(worker: &Worker, head: &Head, recorder: &Recorder, may_exist: bool) {
     recorder.give_up();
     let (key, request) = (&recorder.record().key, recorder.record().request);
-    if may_stand {
+    if may_exist {
         recorder::close(worker, key, request, None, None);
     }
     let problem = match peer::inquire(worker, key).await {
-        Finding::Clear => platform_out(),
-        Finding::Doubt => in_doubt(),
+        Finding::NotSent => platform_out(),
+        Finding::Inconclusive => in_doubt(),
         Finding::Found(address) => {
             let opened = found(worker, recorder.record(), address).await;
             if !matches!(opened, Opened::Failed(_) | Opened::Released) {
--- a/crates/entry/src/orders/desk.rs
+++ b/crates/entry/src/orders/desk.rs
@@ -84,12 +84,12 @@
     /// How many entries are preferred to this one for the data centre.
     pub fn rank(&mut self, entries: &[name::Entry]) {
         let rank = woodgap_core::lease::rank(&self.lease, &self.around.own.entry, entries);
-        self.duty.rank(rank);
+        self.duty.set_rank(rank);
     }
 
     /// The time between two looks while nothing is to be done.
     pub fn look_every(&self) -> Millis {
-        self.duty.look_every()
+        self.duty.poll_interval()
     }
 
     /// Looks at the endpoints that orders are meant for, and does what is due.
@@ -97,11 +97,11 @@
         let (addresses, places) = self.read(orders, instances).await;
         let work = places.iter().any(Place::differs) || self.left_behind(&places).await;
         let open = self.hold.check().is_ok() && !self.progress.settled(&places);
-        self.duty.looked(self.time.now(), work || open);
+        self.duty.record_poll(self.time.now(), work || open);
         let held = self.hold.check().is_ok();
         let want = match self.duty.want(self.time.now(), held, open) {
             // Nothing is left to do: others must not take it for a dead holder's.
-            Want::Idle if self.hold.view() != View::Away => Want::Release,
+            Want::Idle if self.hold.view() != View::NotHeld => Want::Release,
             want => want,
         };
         self.hold.want(want);
@@ -112,7 +112,7 @@
         let pause = if busy {
             Millis(self.around.poll.0 * BUSY_PERCENT / 100)
         } else {
-            self.duty.look_every()
+            self.duty.poll_interval()
         };
         self.look_at = self.time.now() + pause.max(Millis(1));
     }
@@ -146,7 +146,7 @@
     /// Whether another holder has left the lease behind without giving it back:
     /// its last orders may be on their way, or come when it wakes.
     async fn left_behind(&self, places: &[Place]) -> bool {
-        if places.is_empty() || self.hold.view() != View::Away {
+        if places.is_empty() || self.hold.view() != View::NotHeld {
             return false;
         }
         let Ok(seen) = rows::read(&self.table, &self.lease).await else {
@@ -201,7 +201,7 @@
     /// Gives the lease back at a planned stop.
     pub async fn give_back(&self) {
         self.hold.want(Want::Release);
-        while self.hold.view() != View::Away {
+        while self.hold.view() != View::NotHeld {
             self.hold.changed().await;
         }
     }
--- a/crates/entry/tests/interleavings/world.rs
+++ b/crates/entry/tests/interleavings/world.rs
@@ -11,7 +11,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::config::document::Measure;
 use woodgap_core::deferred::{Form, Job, Outcome, Shard, Stage, State};
-use woodgap_core::lease::{Answer, Holder, Mark, Record, Term, Write};
+use woodgap_core::lease::{Holder, Mark, Record, Term, Write, WriteOutcome};
 use woodgap_core::name::{self, Incarnation};
 use woodgap_core::once::{Digest, Key};
 use woodgap_core::tier::Tier;
@@ -149,7 +149,7 @@
             mark: Some(Mark { holder, take }),
         };
         let answer = lease::rows::write(store.storage(), &name, &write).await;
-        let Answer::Committed {
+        let WriteOutcome::Committed {
             fence: Some(fence), ..
         } = answer
         else {
--- a/crates/platform/src/lease/hold.rs
+++ b/crates/platform/src/lease/hold.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 use woodgap_core::clock::Millis;
-use woodgap_core::lease::{Fence, Holder, Machine, Over, Step, Term, View, Want};
+use woodgap_core::lease::{Fence, Holder, LeaseExpired, Machine, Step, Term, View, Want};
 
 use crate::lease::{Time, rows};
 use crate::table::Table;
@@ -84,8 +84,8 @@
     ///
     /// # Errors
     ///
-    /// [`Over`] if not.
-    pub fn check(&self) -> Result<Fence, Over> {
+    /// [`LeaseExpired`] if not.
+    pub fn check(&self) -> Result<Fence, LeaseExpired> {
         self.check_for(Millis::ZERO)
     }
 
@@ -93,8 +93,8 @@
     ///
     /// # Errors
     ///
-    /// [`Over`] if not.
-    pub fn check_for(&self, span: Millis) -> Result<Fence, Over> {
+    /// [`LeaseExpired`] if not.
+    pub fn check_for(&self, span: Millis) -> Result<Fence, LeaseExpired> {
         self.view().check(self.time.now() + span)
     }
 
@@ -126,15 +126,15 @@
     ///
     /// # Errors
     ///
-    /// [`Over`] if it is lost instead.
-    pub async fn held(&self, fence: Fence) -> Result<(), Over> {
+    /// [`LeaseExpired`] if it is lost instead.
+    pub async fn held(&self, fence: Fence) -> Result<(), LeaseExpired> {
         loop {
             let viewed = self.state.viewed.notified();
             if self.check() == Ok(fence) {
                 return Ok(());
             }
             if self.view().fence() != Some(fence) {
-                return Err(Over);
+                return Err(LeaseExpired);
             }
             viewed.await;
         }
@@ -169,11 +169,11 @@
                 if let Err(error) = &seen {
                     log::debug!(lease = name.as_str(), error:% = error; "lease not read");
                 }
-                machine.read(time.now(), seen.ok().as_ref());
+                machine.on_read(time.now(), seen.ok().as_ref());
             }
             Step::Write(write) => {
                 let answer = rows::write(&table, &name, &write).await;
-                machine.wrote(time.now(), answer);
+                machine.on_write(time.now(), answer);
             }
         }
         show(&state, machine.view(), &name);
--- a/crates/platform/src/lease/rows.rs
+++ b/crates/platform/src/lease/rows.rs
@@ -6,7 +6,7 @@
 //! | `fences` | the lease's name | [`Mark`]: written by each take; its version is the fence |
 
 use serde::de::DeserializeOwned;
-use woodgap_core::lease::{Answer, Fence, Mark, Record, Seen, Versioned, Write};
+use woodgap_core::lease::{Fence, Mark, Record, Snapshot, Versioned, Write, WriteOutcome};
 
 use crate::Error;
 use crate::table::{Outcome, Place, Row, Table, Transaction};
@@ -36,11 +36,11 @@
 /// # Errors
 ///
 /// If the platform failed, or a row can't be read.
-pub async fn read<T: Table>(table: &T, name: &str) -> Result<Seen, Error> {
+pub async fn read<T: Table>(table: &T, name: &str) -> Result<Snapshot, Error> {
     let places = [Place::new(LEASES, name), Place::new(FENCES, name)];
     let rows = table.read(&places).await?;
     let row = |index: usize| rows.get(index).and_then(Option::as_ref);
-    Ok(Seen {
+    Ok(Snapshot {
         record: row(0).map(decode::<Record>).transpose()?,
         mark: row(1).map(decode::<Mark>).transpose()?,
     })
@@ -58,21 +58,21 @@
 }
 
 /// Takes, renews or gives back a lease.
-pub async fn write<T: Table>(table: &T, name: &str, write: &Write) -> Answer {
+pub async fn write<T: Table>(table: &T, name: &str, write: &Write) -> WriteOutcome {
     let Ok(transaction) = transaction(name, write) else {
-        return Answer::Unavailable;
+        return WriteOutcome::Unavailable;
     };
     match table.transact(&transaction).await {
         Ok(Outcome::Committed { versions }) => match versions.first() {
-            Some(version) => Answer::Committed {
+            Some(version) => WriteOutcome::Committed {
                 version: *version,
                 fence: versions.get(1).copied().map(Fence),
             },
-            None => Answer::Unknown,
+            None => WriteOutcome::Unknown,
         },
-        Ok(Outcome::Conflict { .. }) => Answer::Conflict,
-        Err(error) if error.may_have_taken_effect() => Answer::Unknown,
-        Err(_) => Answer::Unavailable,
+        Ok(Outcome::Conflict { .. }) => WriteOutcome::Conflict,
+        Err(error) if error.may_have_taken_effect() => WriteOutcome::Unknown,
+        Err(_) => WriteOutcome::Unavailable,
     }
 }
 
--- a/crates/relay/src/duties.rs
+++ b/crates/relay/src/duties.rs
@@ -117,7 +117,9 @@
         let has_tenure = self.tenure.is_some();
         self.hold.want(match (is_stopping, may_take || has_tenure) {
             (true, _) => Want::Release,
-            (false, true) => Want::Hold { look: WATCH },
+            (false, true) => Want::Hold {
+                poll_interval: WATCH,
+            },
             (false, false) => Want::Idle,
         });
         let Ok(fence) = self.hold.check_for(CALL) else {
