--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,14 +1,14 @@
-//! Leases: one life of an entry has an exclusive right for a limited time.
+//! Leases: an exclusive right of one incarnation of an entry, for a limited time.
 //!
-//! A lease is two rows of the table service. The [`Record`] is written anew with
-//! each renewal. The [`Mark`] is written only when the lease is taken, so that
-//! its version is the [`Fence`]: it grows with each holder and never repeats.
-//! Whatever is written under a lease checks the mark's version in the same
-//! transaction, which shuts out a holder that wakes late.
+//! A lease consists of two rows in the table service. The [`Record`] is rewritten by each
+//! renewal. The [`Mark`] is written only when the lease is taken, so its version serves as the
+//! fencing token ([`Fence`]): it increases with each holder and never repeats. Every write made
+//! under a lease checks the mark's version in the same transaction, so the writes of a former
+//! holder that resumes late are rejected.
 //!
-//! No two clocks are compared. The holder counts its time on its own monotonic
-//! clock from before it sent the renewal; whoever wants to take over counts the
-//! whole duration, and a margin, from when it saw the record's present version.
+//! Clocks are never compared. The holder measures its time on its own monotonic clock, starting
+//! before it sends the renewal. A contender waits for the whole duration plus a margin,
+//! starting when it first sees the current version of the record.
 
 use serde::{Deserialize, Serialize};
 
@@ -31,34 +31,34 @@
 pub use row::{Mark, Record, Snapshot, Versioned, Write, WriteOutcome};
 pub use tenure::{Renewal, Tenure};
 
-/// Of a lease's duration, the part after which its holder stops by itself, in
-/// percent: what is left covers a call that is under way, and clocks that run
-/// at different rates.
+/// Share of the lease's duration after which the holder stops by itself, in percent. The rest
+/// covers a call in flight and clocks that run at different rates.
 const HOLD_PERCENT: u64 = 66;
-/// The part after which it is renewed: one renewal may fail before the stop.
+/// Share of the duration after which the lease is renewed, in percent: one renewal may fail
+/// before the holder stops.
 const RENEW_PERCENT: u64 = 33;
-/// What others wait beyond the duration, in percent of it: quartz clocks differ
-/// by less than a thousandth, steered ones by less than a hundredth.
+/// Time that contenders wait beyond the duration, in percent of it: quartz clocks differ by
+/// less than a thousandth, clocks under frequency correction by less than a hundredth.
 const MARGIN_PERCENT: u64 = 10;
 
-/// A number that grows with each holder of a lease and never repeats: the
-/// version of the lease's [`Mark`].
+/// Fencing token: increases with each holder of a lease and never repeats. It is the version of
+/// the lease's [`Mark`].
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// One life of an entry, as the holder of leases.
+/// An incarnation of an entry that can hold leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The entry.
     pub entry: name::Entry,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: name::Incarnation,
 }
 
-/// How long a lease is, and the times that follow from it.
+/// Duration of a lease and the times derived from it.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -74,7 +74,7 @@
 }
 
 impl Term {
-    /// The times of leases of this duration.
+    /// Creates the term of leases with this duration.
     pub const fn new(duration: Millis) -> Self {
         Self { duration }
     }
@@ -84,7 +84,7 @@
         self.duration
     }
 
-    /// How long the holder acts after it sent its last renewal that is in force.
+    /// How long after sending its last successful renewal the holder may act.
     pub const fn hold(self) -> Millis {
         Millis(self.duration.0 * HOLD_PERCENT / 100)
     }
@@ -94,19 +94,18 @@
         Millis(self.duration.0 * RENEW_PERCENT / 100)
     }
 
-    /// How long others watch an unchanged record before they take over.
+    /// How long a contender must see the record unchanged before it takes the lease over.
     pub const fn wait(self) -> Millis {
         Millis(self.duration.0 + self.duration.0 * MARGIN_PERCENT / 100)
     }
 }
 
-/// The holder's time is over: nothing may be done under the lease until it is
-/// renewed.
+/// The lease has expired: nothing may be done under it until it is renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the lease is over")]
+#[error("the lease has expired")]
 pub struct LeaseExpired;
 
-/// A lease in one of its states, as one life of an entry sees it.
+/// A lease in state `S`, from the point of view of one incarnation of an entry.
 #[derive(Clone, Debug)]
 pub struct Lease<S> {
     own: Holder,
@@ -126,9 +125,9 @@
     }
 }
 
-/// How many of the entries come before one for some work, each by its own order:
-/// 0 for the first. Entries that see the same others agree; when one goes, only
-/// what it was first for moves.
+/// Rank of an entry for a unit of work by rendezvous hashing: the number of entries preferred
+/// to it, 0 for the first. Entries that see the same peers agree on the ranks. When an entry
+/// leaves, only the work it was first for moves.
 ///
 /// ```
 /// use woodgap_core::lease::rank;
--- a/crates/core/src/lease/duty.rs
+++ b/crates/core/src/lease/duty.rs
@@ -1,31 +1,32 @@
-//! Which entry cares for some work: the one preferred for it, and others if it does not.
+//! Decides which entry does the work under a lease: the preferred one, or others if it does
+//! not.
 
 use crate::clock::Millis;
 use crate::lease::{Term, Want};
 
-/// How much rarer an entry looks, and how much longer it waits, with each entry
-/// that is preferred to it.
+/// Factor by which the poll interval and the wait grow with each entry that is preferred to
+/// this one.
 const BACKOFF: u64 = 4;
-/// The rank from which on entries no longer look more rarely.
+/// Rank from which on the poll interval no longer grows.
 const MAX_BACKOFF_RANK: usize = 3;
-/// A holder that is not the preferred one steps back after this many looks:
-/// should the preferred one be back, the work is its own again.
+/// Number of polls after which a holder that is not the preferred entry releases the lease, so
+/// that the preferred entry can take its work back if it has returned.
 const TURN_POLLS: u64 = 10;
 
-/// One entry's part in work that is done under a lease.
+/// Decides when one entry should hold the lease for some work.
 #[derive(Clone, Debug)]
 pub struct Duty {
     poll: Millis,
     term: Term,
     rank: usize,
-    /// Since when there has been work at every look.
+    /// Since when every poll has found work.
     work_since: Option<Millis>,
-    /// Since when the lease has been held out of turn.
+    /// Since when the lease has been held without being the preferred entry.
     turn_since: Option<Millis>,
 }
 
 impl Duty {
-    /// The part of an entry that looks this often where it is preferred.
+    /// Creates the duty of an entry; `poll` is the poll interval of the preferred entry.
     pub fn new(poll: Millis, term: Term) -> Self {
         Self {
             poll,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// How many entries are preferred to this one now.
+    /// Sets the number of entries that are preferred to this one.
     pub fn set_rank(&mut self, rank: usize) {
         self.rank = rank;
     }
 
-    /// The time between two looks for work.
+    /// Returns the time between two polls for work.
     pub fn poll_interval(&self) -> Millis {
         Millis(self.poll.0 * self.backoff())
     }
@@ -50,13 +51,13 @@
         (0..self.rank.min(MAX_BACKOFF_RANK)).fold(1, |backoff, _| backoff * BACKOFF)
     }
 
-    /// There was work, or not, at a look.
+    /// Records whether a poll found work.
     pub fn record_poll(&mut self, now: Millis, work: bool) {
         self.work_since = work.then_some(self.work_since.unwrap_or(now));
     }
 
-    /// What is wanted of the lease. `held` says whether it is held, and `running`
-    /// whether something runs under it.
+    /// Returns what to do with the lease. `held` says whether it is held, and `running` whether
+    /// any work is running under it.
     pub fn want(&mut self, now: Millis, held: bool, running: bool) -> Want {
         let wanted = Want::Hold {
             poll_interval: self.watch_interval(),
@@ -71,7 +72,7 @@
             if running || !self.turn_is_over(now) {
                 return wanted;
             }
-            // Its wait for the next turn begins anew.
+            // The grace period starts over before the lease is taken again.
             self.turn_since = None;
             self.work_since = None;
             return Want::Release;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Whether something new may be started, if the lease is held.
+    /// Whether new work may be started while the lease is held.
     pub fn may_start(&self, now: Millis) -> bool {
         self.rank == 0 || !self.turn_is_over(now)
     }
@@ -97,12 +98,13 @@
         self.turn_since.is_some_and(|since| now - since >= turn)
     }
 
-    /// How long there must have been work before an entry takes it out of turn.
+    /// How long work must have been pending before an entry that is not preferred takes the
+    /// lease.
     fn grace_period(&self) -> Millis {
         self.poll_interval()
     }
 
-    /// How often the lease is read while another holds it.
+    /// Interval at which the lease is read while another entry holds it.
     fn watch_interval(&self) -> Millis {
         Millis(self.term.duration().0 / BACKOFF * self.backoff())
     }
--- a/crates/core/src/lease/duty/tests.rs
+++ b/crates/core/src/lease/duty/tests.rs
@@ -1,4 +1,4 @@
-//! Who holds when, by how many are preferred to it.
+//! When an entry takes and releases the lease, by rank.
 
 use rstest::rstest;
 
@@ -13,8 +13,8 @@
     matches!(duty.want(Millis(now), false, false), Want::Hold { .. })
 }
 
-/// The preferred entry holds at once, each further one later, and only while
-/// there is work at every look.
+/// The preferred entry takes the lease at once, each further one later, and only while every
+/// poll finds work.
 #[rstest]
 #[case(0, 0)]
 #[case(1, 400)]
@@ -32,8 +32,8 @@
     assert!(!wants(&mut duty, 2_000 + after));
 }
 
-/// A holder out of turn stops starting after a while, and steps back once
-/// nothing runs.
+/// A holder that is not preferred stops starting work after its turn, and releases the lease
+/// once nothing runs.
 #[test]
 fn a_turn_ends() {
     let mut duty = Duty::new(POLL, TERM);
--- a/crates/core/src/lease/expired.rs
+++ b/crates/core/src/lease/expired.rs
@@ -1,4 +1,4 @@
-//! A lease whose time is over, but which nobody is known to have taken.
+//! State of a lease that has expired, but that no other holder is known to have taken.
 
 use crate::clock::Millis;
 use crate::lease::tenure::Finding;
@@ -6,26 +6,26 @@
     Fence, Free, Held, Lease, OwnedReadOutcome, Renewal, Snapshot, Tenure, Write, WriteOutcome,
 };
 
-/// Ours once; nothing may be done under it.
+/// The lease has expired; nothing may be done under it.
 ///
-/// A renewal requires the record's version, so that it takes effect only if
-/// nobody held the lease in between: the fence is the same then.
+/// A renewal requires the record's version, so it takes effect only if nobody held the lease in
+/// between. The fencing token is then unchanged.
 #[derive(Clone, Debug)]
 pub struct Expired {
     pub(super) tenure: Tenure,
 }
 
-/// What became of the renewal of an expired lease.
+/// Outcome of renewing an expired lease.
 #[derive(Clone, Debug)]
 pub enum RenewalOutcome {
-    /// It is ours again.
+    /// It is held again.
     Held(Lease<Held>),
-    /// It is still over.
+    /// It is still expired.
     Expired(Lease<Expired>),
 }
 
 impl Lease<Expired> {
-    /// The number under which it was held.
+    /// The fencing token that it was held with.
     pub fn fence(&self) -> Fence {
         self.state.tenure.fence
     }
@@ -35,19 +35,19 @@
         self.state.tenure.must_read
     }
 
-    /// A write under the fence was refused: the rows must be read.
+    /// Records that a write with this fencing token was rejected: the rows must be read.
     #[must_use]
     pub fn suspect(mut self) -> Self {
         self.state.tenure.must_read = true;
         self
     }
 
-    /// A renewal that is sent now.
+    /// Creates a renewal that is sent at `now`.
     pub fn renewal(&self, now: Millis) -> Renewal {
         self.state.tenure.renewal(now, &self.own, self.term)
     }
 
-    /// Takes in what became of a renewal, answered now.
+    /// Processes the outcome of a renewal, answered at `now`.
     pub fn on_renewal(
         mut self,
         now: Millis,
@@ -60,10 +60,11 @@
         }
     }
 
-    /// Takes in a read. Also one that shows a renewal in force leaves the lease
-    /// over: the next renewal brings it back.
+    /// Processes a read of the rows. The lease stays expired even if the read shows a renewal
+    /// in force; the next renewal makes it usable again.
     pub fn on_read(mut self, seen: &Snapshot) -> OwnedReadOutcome<Expired> {
-        // Its time is over: nothing is lost by watching rows that were put back like another's.
+        // The lease has expired, so nothing is lost by observing rows that were restored from
+        // an older copy as another holder's.
         if seen.version() < self.state.tenure.version {
             return OwnedReadOutcome::Lost(self.with(Free::default()));
         }
@@ -81,12 +82,13 @@
         }
     }
 
-    /// The write that gives the lease back, so that others need not wait.
+    /// Creates the write that releases the lease, so that others need not wait.
     pub fn release(&self) -> Write {
         self.state.tenure.release(self.term)
     }
 
-    /// The lease was given back, as far as is known.
+    /// Converts the lease to the free state after a release, whether or not the write took
+    /// effect.
     pub fn released(self) -> Lease<Free> {
         self.with(Free::default())
     }
--- a/crates/core/src/lease/free.rs
+++ b/crates/core/src/lease/free.rs
@@ -1,4 +1,4 @@
-//! A lease that is not ours: watched, and taken once nobody can hold it.
+//! State of a lease that is not owned: it is observed, and taken once nobody can hold it.
 
 use crate::clock::Millis;
 use crate::lease::row::TakeNumbers;
@@ -6,66 +6,67 @@
     Expired, Fence, Held, Holder, Lease, Mark, Record, Snapshot, Tenure, Term, Write, WriteOutcome,
 };
 
-/// Not ours.
+/// The lease is not owned.
 #[derive(Clone, Debug, Default)]
 pub struct Free {
     watch: Option<Watch>,
 }
 
-/// A take was sent, and nobody knows what became of it.
+/// A take was sent and its outcome is unknown.
 #[derive(Clone, Debug)]
 pub struct Unresolved {
     take: Take,
 }
 
-/// The state that the record was last seen in.
+/// The version of the record that was last seen, and for how long.
 #[derive(Clone, Debug)]
 struct Watch {
     version: u64,
-    /// When this version was first seen without a gap since.
+    /// When this version was first seen, without a gap in the observation since.
     since: Millis,
     /// When it was last seen.
     last_seen: Millis,
-    /// How long it must be seen; nothing for a lease that nobody holds.
+    /// How long it must be seen unchanged before a take; zero if nobody holds the lease.
     wait: Millis,
-    /// The longest time between two looks.
+    /// Longest allowed time between two reads.
     max_gap: Millis,
 }
 
-/// A take that is under way.
+/// A take in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Take {
-    /// When it was sent; the lease counts from here.
+    /// When it was sent; the lease's time counts from here.
     pub sent: Millis,
-    /// What to write.
+    /// The write to perform.
     pub write: Write,
 }
 
-/// What a read made of a lease that was not ours.
+/// Result of reading the rows of a lease that was not owned.
 #[derive(Clone, Debug)]
 pub enum FreeReadOutcome {
-    /// It is not ours.
+    /// It is not owned.
     Free(Lease<Free>),
-    /// It is ours after all, by a take that was given up: renew it.
+    /// It is owned by an earlier take of this incarnation whose outcome was unknown: it must be
+    /// renewed before use.
     Expired(Lease<Expired>),
 }
 
-/// What became of a take.
+/// Outcome of a take.
 #[derive(Clone, Debug)]
 pub enum TakeOutcome {
-    /// The lease is ours.
+    /// The lease is held.
     Held(Lease<Held>),
-    /// It is ours, but its time is over already.
+    /// It is owned, but has already expired.
     Expired(Lease<Expired>),
-    /// It is not ours.
+    /// It is not owned.
     Free(Lease<Free>),
-    /// The rows must be read.
+    /// The outcome is unknown: the rows must be read.
     Unresolved(Lease<Unresolved>),
 }
 
 impl Lease<Free> {
-    /// A lease of which nothing is known. `first_take` is drawn at random, so
-    /// that no take of another life of the caller is mistaken for its own.
+    /// Creates a lease whose state is unknown. `first_take` must be random, so that the takes
+    /// of another incarnation of the caller are not mistaken for its own.
     pub fn new(own: Holder, term: Term, first_take: u64) -> Self {
         Self {
             own,
@@ -75,10 +76,10 @@
         }
     }
 
-    /// Takes in a read, answered now.
+    /// Processes a read that was answered at `now`.
     ///
-    /// A longer time than `max_gap` between two looks starts the watch again: after
-    /// an outage of the table service, its holder may renew first.
+    /// If more than `gap` passes between two reads, the observation starts over: after an
+    /// outage of the table service, the holder gets the chance to renew first.
     pub fn on_read(mut self, now: Millis, seen: &Snapshot, max_gap: Millis) -> FreeReadOutcome {
         let own = seen.take_of(&self.own);
         if let Some((take, fence)) = own.filter(|(take, _)| self.takes.contains(*take)) {
@@ -101,8 +102,9 @@
         let since = same.map_or(now, |watch| watch.since);
         let wait = match (&seen.record, seen.holder()) {
             (Some(record), Some(_)) => Term::new(record.value.duration).wait(),
-            // An older state that stays is all there is: the rows were put back. Somebody may
-            // hold the lease by a take that is not among them.
+            // An older version that persists is not a stale read: the table was restored from
+            // an older copy. Another holder may own the lease by a take that was lost in the
+            // restore.
             _ if newer_seen.is_some() => self.term.wait(),
             _ => Millis::ZERO,
         };
@@ -115,13 +117,13 @@
         });
     }
 
-    /// When the lease may be taken, if it stays as it was seen.
+    /// When the lease may be taken if the record does not change.
     pub fn takeover_at(&self) -> Option<Millis> {
         let watch = self.state.watch.as_ref()?;
         Some(watch.since + watch.wait)
     }
 
-    /// A take, if nobody can hold the lease now.
+    /// Creates a take if nobody can hold the lease at `now`.
     pub fn take(&mut self, now: Millis) -> Option<Take> {
         let watch = self.state.watch.as_ref()?;
         let takeover_at = watch.since + watch.wait;
@@ -148,7 +150,7 @@
         })
     }
 
-    /// Takes in what became of a take.
+    /// Processes the outcome of a take, answered at `now`.
     pub fn on_take(mut self, now: Millis, take: Take, answer: WriteOutcome) -> TakeOutcome {
         match answer {
             WriteOutcome::Committed {
@@ -181,10 +183,9 @@
 }
 
 impl Lease<Unresolved> {
-    /// Takes in a read, answered now.
+    /// Processes a read that was answered at `now`.
     ///
-    /// A take that the read does not show may still take effect; a later read
-    /// then finds it.
+    /// A take that this read does not show may still take effect; a later read then finds it.
     pub fn on_read(self, now: Millis, seen: &Snapshot, max_gap: Millis) -> TakeOutcome {
         let sent_take = self.state.take.write.record.take;
         let own = seen.take_of(&self.own);
--- a/crates/core/src/lease/held.rs
+++ b/crates/core/src/lease/held.rs
@@ -1,4 +1,4 @@
-//! A lease that is ours, and whose time is not over.
+//! State of a lease that is held by this incarnation and has not expired.
 
 use crate::clock::Millis;
 use crate::lease::tenure::Finding;
@@ -6,7 +6,7 @@
     Expired, Fence, Free, Lease, LeaseExpired, Renewal, Snapshot, Tenure, Term, Write, WriteOutcome,
 };
 
-/// Ours.
+/// The lease is held.
 #[derive(Clone, Debug)]
 pub struct Held {
     tenure: Tenure,
@@ -14,12 +14,12 @@
     renew_at: Millis,
 }
 
-/// What a read made of a lease that was ours.
+/// Result of reading the rows of a lease that was owned.
 #[derive(Clone, Debug)]
 pub enum OwnedReadOutcome<S> {
-    /// It still is.
+    /// It is still owned.
     Owned(Lease<S>),
-    /// It is not.
+    /// It is no longer owned.
     Lost(Lease<Free>),
 }
 
@@ -34,12 +34,12 @@
 }
 
 impl Lease<Held> {
-    /// Whether the lease may be acted under now. Asked before every action, by
-    /// a clock that was read after everything that went before.
+    /// Returns the fencing token if the lease has not expired. Call it before every action,
+    /// with a clock reading taken after everything that precedes the action.
     ///
     /// # Errors
     ///
-    /// [`LeaseExpired`] once its time is over.
+    /// [`LeaseExpired`] once the lease has expired.
     pub fn check(&self, now: Millis) -> Result<Fence, LeaseExpired> {
         if now < self.state.until {
             Ok(self.state.tenure.fence)
@@ -48,12 +48,12 @@
         }
     }
 
-    /// The number under which to act.
+    /// The fencing token of this lease.
     pub fn fence(&self) -> Fence {
         self.state.tenure.fence
     }
 
-    /// When its time is over.
+    /// When the lease expires.
     pub fn until(&self) -> Millis {
         self.state.until
     }
@@ -68,19 +68,19 @@
         self.state.tenure.must_read
     }
 
-    /// A write under the fence was refused: the rows must be read.
+    /// Records that a write with this fencing token was rejected: the rows must be read.
     #[must_use]
     pub fn suspect(mut self) -> Self {
         self.state.tenure.must_read = true;
         self
     }
 
-    /// A renewal that is sent now.
+    /// Creates a renewal that is sent at `now`.
     pub fn renewal(&self, now: Millis) -> Renewal {
         self.state.tenure.renewal(now, &self.own, self.term)
     }
 
-    /// Takes in what became of a renewal.
+    /// Processes the outcome of a renewal.
     #[must_use]
     pub fn on_renewal(mut self, renewal: &Renewal, answer: WriteOutcome) -> Self {
         if let Some(sent) = self.state.tenure.on_renewal(renewal, answer) {
@@ -89,7 +89,7 @@
         self
     }
 
-    /// Takes in a read.
+    /// Processes a read of the rows.
     pub fn on_read(mut self, seen: &Snapshot) -> OwnedReadOutcome<Held> {
         match self.state.tenure.on_read(&self.own, seen) {
             Finding::Lost => OwnedReadOutcome::Lost(self.with(Free::default())),
@@ -108,21 +108,22 @@
         self.state.renew_at = self.state.renew_at.max(later.renew_at);
     }
 
-    /// The write that gives the lease back.
+    /// Creates the write that releases the lease.
     pub fn release(&self) -> Write {
         self.state.tenure.release(self.term)
     }
 
-    /// The lease was given back, as far as is known.
+    /// Converts the lease to the free state after a release, whether or not the write took
+    /// effect.
     pub fn released(self) -> Lease<Free> {
         self.with(Free::default())
     }
 
-    /// The lease as it is now.
+    /// Returns the lease if it has not expired at `now`.
     ///
     /// # Errors
     ///
-    /// The expired lease, once its time is over.
+    /// The lease in its expired state otherwise.
     pub fn expire(self, now: Millis) -> Result<Self, Lease<Expired>> {
         if now < self.state.until {
             return Ok(self);
--- a/crates/core/src/lease/machine.rs
+++ b/crates/core/src/lease/machine.rs
@@ -1,4 +1,4 @@
-//! Drives one lease: says which call comes next, and takes in what it brought.
+//! State machine of one lease: returns the next call to make and processes its result.
 
 use crate::clock::Millis;
 use crate::lease::{
@@ -6,63 +6,64 @@
     Renewal, RenewalOutcome, Snapshot, Take, TakeOutcome, Term, Unresolved, Write, WriteOutcome,
 };
 
-/// Of a lease's duration, the pause after a call that brought nothing, in percent.
+/// Pause after a failed call or an unresolved read, in percent of the lease's duration.
 const RETRY_PERCENT: u64 = 5;
-/// The shortest such pause.
+/// Lower bound of this pause.
 const MIN_RETRY_PAUSE: Millis = Millis(20);
-/// How many looks may be missed before a watch starts again.
+/// Number of polls that may be missed before the observation of an unchanged record starts
+/// over.
 const MISSED_POLLS: u64 = 2;
-/// A rest without end: a change of what is wanted ends it.
+/// Rest while nothing is to be done; the caller ends it early when its wish changes.
 const IDLE_REST: Millis = Millis::from_secs(3_600);
 
-/// What the caller wants of the lease.
+/// What the caller wants to do with the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Want {
-    /// Nothing: a lease that is held is left to run out, at no cost.
+    /// Nothing: a held lease is left to expire, without any calls.
     Idle,
-    /// To hold it. While another does, the rows are read this often.
+    /// Acquire and hold it. While another holder has it, the rows are polled at this interval.
     Hold {
-        /// The time between two looks.
+        /// Time between two reads.
         poll_interval: Millis,
     },
-    /// To give it back, so that others need not wait.
+    /// Release it, so that others need not wait for it to expire.
     Release,
 }
 
 /// The next call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// None before this time, unless something else is wanted.
+    /// No call before this time, unless the caller's wish changes.
     Rest(Millis),
-    /// Read both rows, and report them to [`Machine::on_read`].
+    /// Read both rows and pass the result to [`Machine::on_read`].
     Read,
-    /// Write, and report what became of it to [`Machine::on_write`].
+    /// Perform the write and pass its outcome to [`Machine::on_write`].
     Write(Write),
 }
 
-/// The lease as others may act on it.
+/// Status of the lease, as seen by the code that acts under it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum View {
-    /// Not ours.
+    /// Not held by this incarnation.
     #[default]
     NotHeld,
-    /// Ours, until this time on the own clock.
+    /// Held until this time on the local clock.
     Held {
-        /// The number under which to act.
+        /// The fencing token.
         fence: Fence,
-        /// When its time is over.
+        /// When it expires.
         until: Millis,
     },
-    /// Its time is over, but nobody is known to have taken it.
+    /// Expired, but no other holder is known.
     Expired(Fence),
 }
 
 impl View {
-    /// Whether the lease may be acted under at this time.
+    /// Returns the fencing token if the lease is held at this time.
     ///
     /// # Errors
     ///
-    /// [`LeaseExpired`] if not.
+    /// [`LeaseExpired`] otherwise.
     pub fn check(self, now: Millis) -> Result<Fence, LeaseExpired> {
         match self {
             Self::Held { fence, until } if now < until => Ok(fence),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The fence, as long as nobody else is known to have a later one.
+    /// The fencing token, as long as no other holder is known to have a later one.
     pub fn fence(self) -> Option<Fence> {
         match self {
             Self::NotHeld => None,
@@ -94,21 +95,22 @@
     Release,
 }
 
-/// One lease, with the calls that it needs.
+/// State machine of one lease.
 #[derive(Clone, Debug)]
 pub struct Machine {
     term: Term,
     state: Option<State>,
     pending: Option<Pending>,
-    /// When the rows may be read next.
+    /// Earliest time of the next read.
     next_read: Millis,
-    /// When the next write may be tried.
+    /// Earliest time of the next write after a failed one.
     retry_at: Millis,
     poll_interval: Millis,
 }
 
 impl Machine {
-    /// A lease of which nothing is known; see [`Lease::new`] for `first_take`.
+    /// Creates the machine of a lease whose state is unknown; see [`Lease::new`] for
+    /// `first_take`.
     pub fn new(own: Holder, term: Term, first_take: u64) -> Self {
         Self {
             term,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The lease as it is now.
+    /// Returns the status after the last step.
     pub fn view(&self) -> View {
         match &self.state {
             Some(State::Held(held)) => View::Held {
@@ -132,7 +134,8 @@
         }
     }
 
-    /// The next call. Its time counts from `now`, so `now` is read before it is sent.
+    /// Returns the next call. Lease times count from `now`, so read the clock before the call
+    /// is sent.
     pub fn step(&mut self, now: Millis, want: Want) -> Step {
         if let Want::Hold { poll_interval } = want {
             self.poll_interval = poll_interval;
@@ -239,7 +242,7 @@
         Step::Write(write)
     }
 
-    /// Takes in a read, answered now; none if it failed.
+    /// Processes a read that was answered at `now`; `None` if it failed.
     pub fn on_read(&mut self, now: Millis, seen: Option<&Snapshot>) {
         let Some(seen) = seen else {
             self.next_read = now + self.pause();
@@ -252,7 +255,8 @@
             State::Held(held) => from_owned_read(held.on_read(seen), State::Held),
             State::Expired(expired) => from_owned_read(expired.on_read(seen), State::Expired),
         };
-        // What is still unclear is read again soon, what another holds at leisure.
+        // A lease that may be owned is read again after the short pause, one of another holder
+        // at the poll interval.
         let interval = match &state {
             State::Free(_) => self.poll_interval,
             _ => self.pause(),
@@ -261,7 +265,7 @@
         self.state = Some(state);
     }
 
-    /// Takes in what became of the write of the last step, answered now.
+    /// Processes the outcome of the last step's write, answered at `now`.
     pub fn on_write(&mut self, now: Millis, answer: WriteOutcome) {
         let pending = self.pending.take();
         let state = match (self.take_state(), pending) {
@@ -283,7 +287,7 @@
         };
         self.state = Some(state);
         match answer {
-            // Whatever is there now is news.
+            // The rows have changed: read them at once.
             WriteOutcome::Conflict => self.next_read = now,
             WriteOutcome::Committed { .. } => {}
             WriteOutcome::Unavailable | WriteOutcome::Unknown => {
@@ -293,7 +297,8 @@
         }
     }
 
-    /// A write under the fence was refused: somebody may have taken the lease.
+    /// Records that a write with this fencing token was rejected: another holder may have taken
+    /// the lease.
     pub fn suspect(&mut self, now: Millis) {
         let state = match self.take_state() {
             State::Held(held) => State::Held(held.suspect()),
--- a/crates/core/src/lease/row.rs
+++ b/crates/core/src/lease/row.rs
@@ -1,83 +1,84 @@
-//! The rows of a lease, and what reading and writing them brings.
+//! The rows of a lease, and the results of reading and writing them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 use crate::lease::{Fence, Holder};
 
-/// The row that each renewal writes anew.
+/// The row that every renewal rewrites.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who holds the lease; none once it was given back.
+    /// The holder; `None` after a release.
     pub holder: Option<Holder>,
-    /// Names the take by which the holder came to it.
+    /// Identifies the take by which the holder acquired the lease.
     pub take: u64,
-    /// How long the lease lasts after each renewal.
+    /// Duration of the lease from each renewal.
     #[serde(rename = "duration_ms")]
     pub duration: Millis,
 }
 
-/// The row that each take writes; its version is the [`Fence`].
+/// The row that only a take writes; its version is the fencing token ([`Fence`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Who took the lease.
+    /// The holder that took the lease.
     pub holder: Holder,
-    /// Names the take.
+    /// Identifies the take.
     pub take: u64,
 }
 
-/// A row's value with its version.
+/// Value and version of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
     /// The value.
     pub value: T,
-    /// Grows with every write; never 0.
+    /// Increases with every write; never 0.
     pub version: u64,
 }
 
-/// What a read of both rows showed; it may be an older state.
+/// Result of reading both rows; it may be stale.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The record; none where there is none.
+    /// The record, if the row exists.
     pub record: Option<Versioned<Record>>,
-    /// The mark; none where there is none.
+    /// The mark, if the row exists.
     pub mark: Option<Versioned<Mark>>,
 }
 
 impl Snapshot {
-    /// The record's version; 0 where there is none.
+    /// The record's version; 0 if the row does not exist.
     pub fn version(&self) -> u64 {
         self.record.as_ref().map_or(0, |record| record.version)
     }
 
-    /// The holder, if there is one.
+    /// The current holder, if any.
     pub fn holder(&self) -> Option<&Holder> {
         self.record.as_ref()?.value.holder.as_ref()
     }
 
-    /// The take of this holder that is in force, with its fence.
+    /// The take of `own` that is in force, with its fencing token; `None` if another holder has
+    /// the lease.
     pub(super) fn take_of(&self, own: &Holder) -> Option<(u64, Fence)> {
         let record = self.record.as_ref()?;
         let mark = self.mark.as_ref()?;
-        // Both rows may have been read at different times.
+        // The two rows may have been read at different times.
         let whole = mark.value.take == record.value.take && mark.value.holder == *own;
         let is_holder = record.value.holder.as_ref() == Some(own);
         (whole && is_holder).then_some((record.value.take, Fence(mark.version)))
     }
 }
 
-/// A transaction that takes, renews or gives back a lease.
+/// A transaction that takes, renews or releases a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The version that the record must have; 0 for "no such row".
+    /// Version that the record must have; 0 if the row must not exist.
     pub over: u64,
-    /// The record.
+    /// The new record.
     pub record: Record,
-    /// The mark, written only by a take.
+    /// The new mark; only a take writes it.
     pub mark: Option<Mark>,
 }
 
-/// What became of a [`Write`].
+/// Outcome of a [`Write`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It took effect.
@@ -87,15 +88,15 @@
         /// The mark's new version, if it was written.
         fence: Option<Fence>,
     },
-    /// The record has another version; nothing was written.
+    /// The record has a different version; nothing was written.
     Conflict,
-    /// Nothing was written.
+    /// The call failed and nothing was written.
     Unavailable,
-    /// It may have taken effect, or may yet.
+    /// It may have taken effect, or may still do so.
     Unknown,
 }
 
-/// Numbers the takes of one life of a branch, so that it knows its own.
+/// Generates the numbers of one incarnation's takes, so that it recognises its own.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TakeNumbers {
     first: u64,
@@ -103,7 +104,7 @@
 }
 
 impl TakeNumbers {
-    /// Takes from a number that is drawn at random.
+    /// Starts at a random number.
     pub(super) fn new(first: u64) -> Self {
         Self { first, next: first }
     }
@@ -114,7 +115,7 @@
         take
     }
 
-    /// Whether a take is one of these.
+    /// Whether this incarnation issued the number.
     pub(super) fn contains(self, take: u64) -> bool {
         take.wrapping_sub(self.first) < self.next.wrapping_sub(self.first)
     }
--- a/crates/core/src/lease/tenure.rs
+++ b/crates/core/src/lease/tenure.rs
@@ -1,34 +1,35 @@
-//! What the states of a lease that is ours have in common: which write is in force.
+//! State shared by held and expired leases: which write is in force.
 
 use crate::clock::Millis;
 use crate::lease::{Fence, Holder, Record, Snapshot, Term, Write, WriteOutcome};
 
-/// A lease that is ours as far as is known.
+/// A lease that this incarnation owns as far as it knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenure {
     pub(super) fence: Fence,
     pub(super) version: u64,
     pub(super) take: u64,
-    /// When the earliest renewal was sent of which nobody knows what became.
+    /// When the earliest renewal whose outcome is unknown was sent.
     pub(super) unresolved_since: Option<Millis>,
     /// Whether the rows must be read before the next write.
     pub(super) must_read: bool,
 }
 
-/// A renewal that is under way.
+/// A renewal in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Renewal {
-    /// When it was sent; its time counts from here.
+    /// When it was sent; the lease's time counts from here.
     pub sent: Millis,
-    /// What to write.
+    /// The write to perform.
     pub write: Write,
 }
 
-/// What the rows say about a tenure.
+/// What a read of the rows shows about the lease.
 pub(super) enum Finding {
-    /// It is ours; the renewal sent at this time is in force, if that is news.
+    /// It is owned. Contains the send time of the renewal that is in force if the read
+    /// confirmed one whose outcome was unknown.
     Owned(Option<Millis>),
-    /// Somebody else has it, or it was given back.
+    /// Another holder has it, or it was released.
     Lost,
 }
 
@@ -56,12 +57,13 @@
         }
     }
 
-    /// Takes in what became of a renewal; says from when its time counts, if it
-    /// is in force.
+    /// Processes the outcome of a renewal. Returns the time from which the lease counts if the
+    /// renewal took effect.
     pub(super) fn on_renewal(&mut self, renewal: &Renewal, answer: WriteOutcome) -> Option<Millis> {
         match answer {
             WriteOutcome::Committed { version, .. } => {
-                // Renewals in doubt required the same version: none took effect.
+                // Renewals with an unknown outcome required the same version, so none of them
+                // took effect.
                 self.version = version;
                 self.unresolved_since = None;
                 self.must_read = false;
@@ -80,11 +82,11 @@
         }
     }
 
-    /// Takes in a read of the rows.
+    /// Processes a read of the rows.
     pub(super) fn on_read(&mut self, own: &Holder, seen: &Snapshot) -> Finding {
         let version = seen.version();
         if version != 0 && version < self.version {
-            // An older state; the next read may show more.
+            // A stale read; a later one may show more.
             return Finding::Owned(None);
         }
         let ours = seen.take_of(own).is_some_and(|(take, _)| take == self.take);
@@ -93,12 +95,12 @@
         }
         self.must_read = false;
         if version == self.version {
-            // What is in doubt has not taken effect, but still may.
+            // Writes with an unknown outcome have not taken effect, but still may.
             return Finding::Owned(None);
         }
         self.version = version;
-        // Which of several renewals in doubt this is can't be told: the earliest
-        // ends first.
+        // The read can't tell which of several unresolved renewals took effect, so the
+        // earliest send time is used: it expires first.
         Finding::Owned(self.unresolved_since.take())
     }
 }
--- a/crates/core/src/lease/tests.rs
+++ b/crates/core/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Every order in which takes, renewals, pauses and losses can come.
+//! Lease state machine under takes, renewals, pauses and losses in every order.
 
 use std::collections::VecDeque;
 
@@ -16,12 +16,12 @@
     poll_interval: Millis(250),
 };
 
-/// The two rows, with every state that they were in.
+/// The two rows with the history of their states.
 #[derive(Clone, Debug, Default)]
 struct Rows {
     version: u64,
     states: Vec<Snapshot>,
-    /// Who took the lease, in order.
+    /// The fencing token and holder of each take, in order.
     takes: Vec<(Fence, Incarnation)>,
 }
 
@@ -55,7 +55,7 @@
         WriteOutcome::Committed { version, fence }
     }
 
-    /// What a writer hears of a call that this becomes of.
+    /// Applies the fate of a write and returns the outcome that the writer sees.
     fn answer(&mut self, write: &Write, fate: Fate) -> WriteOutcome {
         match fate {
             Fate::Good | Fate::Stale => self.write(write),
@@ -80,21 +80,21 @@
     Machine::new(holder(number), TERM, number * 1_000)
 }
 
-/// What becomes of a call.
+/// Fault injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     Good,
     /// Nothing is done, and the caller knows.
     Unavailable,
-    /// It takes effect, and the caller does not know.
+    /// It takes effect, but the caller does not know.
     AckLost,
-    /// It has no effect, and the caller does not know.
+    /// It has no effect, but the caller does not know.
     RequestLost,
     /// A read shows the state before the last write.
     Stale,
 }
 
-/// Makes one step; true if a call was made.
+/// Makes one step; returns whether a call was made.
 fn step(machine: &mut Machine, rows: &mut Rows, now: Millis, want: Want, fate: Fate) -> bool {
     match machine.step(now, want) {
         Step::Rest(until) => {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Makes steps until nothing is left to do now.
+/// Makes steps until the machine rests.
 fn settle(machine: &mut Machine, rows: &mut Rows, now: Millis, want: Want) {
     for _ in 0..8 {
         if !step(machine, rows, now, want, Fate::Good) {
@@ -127,7 +127,7 @@
     panic!("calls without end");
 }
 
-/// Runs a machine undisturbed from one time to another.
+/// Runs a machine without faults from one time to another.
 fn run(machine: &mut Machine, rows: &mut Rows, from: u64, to: u64, want: Want) {
     for now in (from..=to).step_by(10) {
         settle(machine, rows, Millis(now), want);
@@ -155,7 +155,7 @@
     assert!(rows.takes[0].0 < rows.takes[1].0);
 }
 
-/// A call of the take is disturbed: in the end it is held, by one take.
+/// One call during a take fails: the lease is still held in the end, by a single take.
 #[rstest]
 #[case::read_fails(0, Fate::Unavailable)]
 #[case::write_refused(1, Fate::Unavailable)]
@@ -172,7 +172,7 @@
     assert_eq!(rows.takes.len(), 1);
 }
 
-/// The time of a take whose acknowledgement was lost counts from when it was sent.
+/// A take whose acknowledgement was lost counts from when it was sent.
 #[test]
 fn a_take_settled_late_is_over_early() {
     let (mut machine, mut rows) = (machine(1), Rows::default());
@@ -185,7 +185,7 @@
     assert_eq!(until, TERM.hold());
 }
 
-/// A renewal is disturbed; how long the holder may act is what is asked.
+/// A renewal fails: checks how long the holder may act.
 #[rstest]
 #[case::good(Fate::Good, 330 + 660)]
 #[case::refused(Fate::Unavailable, 660)]
@@ -196,14 +196,14 @@
     settle(&mut machine, &mut rows, Millis(0), HOLD);
     assert!(step(&mut machine, &mut rows, Millis(330), HOLD, fate));
     assert!(holds(&machine, until - 1) && !holds(&machine, until));
-    // Read back, or written again, it is held on, with the same fence.
+    // After a read or another write, the lease is still held with the same fencing token.
     run(&mut machine, &mut rows, 340, 3_000, HOLD);
     assert!(holds(&machine, 3_000));
     assert_eq!(rows.takes.len(), 1);
 }
 
-/// The time of a renewal whose acknowledgement was lost is that of the earliest
-/// one that may be in force.
+/// If several renewals have an unknown outcome, the lease counts from the earliest that may be
+/// in force.
 #[test]
 fn of_renewals_in_doubt_the_earliest_counts() {
     let (mut machine, mut rows) = (machine(1), Rows::default());
@@ -221,8 +221,8 @@
     assert!(holds(&machine, 330 + 659) && !holds(&machine, 330 + 660));
 }
 
-/// Frozen at some point of its life, the holder finds that its time is over, and
-/// a second one has the lease with a higher fence.
+/// A holder is suspended: its lease expires, and a second one takes it with a higher fencing
+/// token.
 #[rstest]
 fn a_holder_that_pauses(#[values(0, 10, 329, 330, 400, 659)] at: u64) {
     let (mut first, mut second, mut rows) = (machine(1), machine(2), Rows::default());
@@ -239,7 +239,8 @@
     assert!(before.0 < after.0);
 }
 
-/// Paused between its clock and its write, a renewal no longer takes effect.
+/// A holder suspended between reading its clock and sending the renewal: the late renewal is
+/// rejected.
 #[test]
 fn a_renewal_sent_late_is_refused() {
     let (mut first, mut second, mut rows) = (machine(1), machine(2), Rows::default());
@@ -253,7 +254,8 @@
     assert!(!holds(&first, 2_000) && holds(&second, 1_500));
 }
 
-/// An outage longer than the lease: nobody acts, and the holder goes on after it.
+/// Table service outage longer than the lease: nobody acts during it, and the holder continues
+/// afterwards.
 #[test]
 fn an_outage_of_the_table_service() {
     let (mut first, mut second, mut rows) = (machine(1), machine(2), Rows::default());
@@ -264,14 +266,14 @@
         step(&mut second, &mut rows, Millis(now), HOLD, Fate::Unavailable);
     }
     assert!(matches!(first.view(), View::Expired(_)) && !holds(&second, 10_000));
-    // The second sees the row first, but its watch starts again.
+    // The second one reads the row first, but its observation starts over.
     settle(&mut second, &mut rows, Millis(10_000), HOLD);
     run(&mut first, &mut rows, 10_010, 10_200, HOLD);
     assert!(holds(&first, 10_200));
     assert_eq!(rows.takes.len(), 1);
 }
 
-/// A record that another life of the same branch left is another holder's.
+/// A record left by an earlier incarnation of the same entry is treated as another holder's.
 #[test]
 fn a_former_life_of_the_branch_is_waited_out() {
     let (mut former, mut rows) = (machine(1), Rows::default());
@@ -283,8 +285,7 @@
     assert!(holds(&next, 1_400));
 }
 
-/// Rows that were read at different times, or that are of an older state, make
-/// nobody a holder.
+/// Rows that were read at different times or are stale make nobody a holder.
 #[test]
 fn torn_and_stale_reads() {
     let mut machine = machine(1);
@@ -312,9 +313,9 @@
     assert_eq!(machine.view(), View::NotHeld);
 }
 
-/// The rows are put back to an older state, and versions are given out again. Not to one before
-/// the last take: whoever finds such rows can't know of that holder, and has to hear of it from
-/// other entries.
+/// Restores the rows to an older state, so that versions are assigned again. Never to a state
+/// before the last take: whoever reads such rows can't know of that holder, and must learn of
+/// it from other entries.
 fn put_back(rows: &mut Rows, states: usize) {
     let taken = rows.takes.last().map_or(0, |(fence, _)| fence.0);
     let with_take = |seen: &Snapshot| seen.mark.as_ref().is_some_and(|mark| mark.version >= taken);
@@ -326,9 +327,9 @@
     rows.version = last.version().max(mark);
 }
 
-/// A store that comes back from an older copy: entries that had seen newer rows waited for these
-/// for ever, and the holder never became another entry's follower. Now all of them see what is
-/// there, and one holds the lease again.
+/// The table is restored from an older copy. Entries that had seen newer rows waited for these
+/// forever, and the holder's lease was never taken over by another entry. Every entry must
+/// accept the restored rows, and one must hold the lease again.
 #[test]
 fn rows_that_were_put_back() {
     let (mut first, mut second, mut rows) = (machine(1), machine(2), Rows::default());
@@ -339,12 +340,12 @@
     }
     assert!(holds(&first, 3_000));
     put_back(&mut rows, 4);
-    // The first one is gone: the second must follow it.
+    // The first holder is gone: the second must take over.
     let mut third = second.clone();
     let mut rows_without = rows.clone();
     run(&mut third, &mut rows_without, 3_010, 6_000, HOLD);
     assert!(holds(&third, 6_000), "the one that follows waits for ever");
-    // Or it goes on: one of the two holds it in the end, and never both.
+    // The first holder continues: one of the two holds the lease in the end, and never both.
     let mut held = 0;
     for now in (3_010..9_000).step_by(10) {
         settle(&mut first, &mut rows, Millis(now), HOLD);
@@ -360,14 +361,14 @@
     );
 }
 
-/// A move of the random test: what one of the machines does next.
+/// A step of the randomised test: what one of the machines does next.
 #[derive(Clone, Copy, Debug)]
 struct Move {
     who: usize,
     want: Want,
     fate: Fate,
     after: u64,
-    /// Writes that reach the rows only after so many further moves; 0 for at once.
+    /// Number of steps after which a write reaches the rows; 0 for at once.
     late: usize,
 }
 
@@ -395,7 +396,7 @@
     })
 }
 
-/// Makes the moves, one after the other, with a look after each.
+/// Plays the steps in order and calls `check` after each.
 fn play(moves: &[Move], mut check: impl FnMut(&[Machine; 3], &Rows, u64)) {
     let mut machines = [machine(1), machine(2), machine(3)];
     let mut rows = Rows::default();
@@ -438,7 +439,7 @@
 }
 
 proptest! {
-    /// Whatever comes: never two holders at once, and fences grow.
+    /// There are never two holders at once, and fencing tokens increase.
     #[test]
     fn one_holder_at_a_time(moves in prop::collection::vec(any_move(), 1..300)) {
         play(&moves, |machines, rows, now| {
