--- a/crates/core/src/lease/duty.rs
+++ b/crates/core/src/lease/duty.rs
@@ -9,8 +9,9 @@
 const BACKOFF: u64 = 4;
 /// Rank from which on the poll interval no longer grows.
 const MAX_BACKOFF_RANK: usize = 3;
-/// Number of polls after which a holder that is not the preferred entry releases the lease, so
-/// that the preferred entry can take its work back if it has returned.
+/// Number of polls after which a holder that is not the preferred entry starts no more work and
+/// releases the lease once nothing runs, so that the preferred entry can take its work back if
+/// it has returned.
 const TURN_POLLS: u64 = 10;
 
 /// Decides when one entry should hold the lease for some work.
--- a/crates/core/src/lease/machine.rs
+++ b/crates/core/src/lease/machine.rs
@@ -13,7 +13,7 @@
 /// Number of polls that may be missed before the observation of an unchanged record starts
 /// over.
 const MISSED_POLLS: u64 = 2;
-/// Rest while nothing is to be done; the caller ends it early when its wish changes.
+/// Rest while nothing is to be done; it ends early when the caller wants something else.
 const IDLE_REST: Millis = Millis::from_secs(3_600);
 
 /// What the caller wants to do with the lease.
@@ -33,7 +33,7 @@
 /// The next call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// No call before this time, unless the caller's wish changes.
+    /// No call before this time, unless the caller wants something else.
     Rest(Millis),
     /// Read both rows and pass the result to [`Machine::on_read`].
     Read,
--- a/crates/core/src/lease/tests.rs
+++ b/crates/core/src/lease/tests.rs
@@ -316,7 +316,7 @@
 /// Restores the rows to an older state, so that versions are assigned again. Never to a state
 /// before the last take: whoever reads such rows can't know of that holder, and must learn of
 /// it from other entries.
-fn put_back(rows: &mut Rows, states: usize) {
+fn restore_rows(rows: &mut Rows, states: usize) {
     let taken = rows.takes.last().map_or(0, |(fence, _)| fence.0);
     let with_take = |seen: &Snapshot| seen.mark.as_ref().is_some_and(|mark| mark.version >= taken);
     let first = rows.states.iter().position(with_take).unwrap_or(0);
@@ -328,8 +328,8 @@
 }
 
 /// The table is restored from an older copy. Entries that had seen newer rows waited for these
-/// forever, and the holder's lease was never taken over by another entry. Every entry must
-/// accept the restored rows, and one must hold the lease again.
+/// forever, and the former holder never began to observe another entry's lease. Every entry
+/// must accept the restored rows, and one must hold the lease again.
 #[test]
 fn rows_that_were_put_back() {
     let (mut first, mut second, mut rows) = (machine(1), machine(2), Rows::default());
@@ -339,7 +339,7 @@
         settle(&mut second, &mut rows, Millis(now), HOLD);
     }
     assert!(holds(&first, 3_000));
-    put_back(&mut rows, 4);
+    restore_rows(&mut rows, 4);
     // The first holder is gone: the second must take over.
     let mut third = second.clone();
     let mut rows_without = rows.clone();
@@ -400,18 +400,18 @@
 fn play(moves: &[Move], mut check: impl FnMut(&[Machine; 3], &Rows, u64)) {
     let mut machines = [machine(1), machine(2), machine(3)];
     let mut rows = Rows::default();
-    let mut on_their_way: VecDeque<(usize, Write)> = VecDeque::new();
+    let mut in_flight: VecDeque<(usize, Write)> = VecDeque::new();
     let mut now = 0;
     for (index, made) in moves.iter().enumerate() {
         now += made.after;
-        while on_their_way.front().is_some_and(|(due, _)| *due <= index) {
-            let (_, write) = on_their_way.pop_front().unwrap();
+        while in_flight.front().is_some_and(|(due, _)| *due <= index) {
+            let (_, write) = in_flight.pop_front().unwrap();
             rows.write(&write);
         }
         let machine = &mut machines[made.who];
         match machine.step(Millis(now), made.want) {
             Step::Write(write) if made.late > 0 => {
-                on_their_way.push_back((index + made.late, write));
+                in_flight.push_back((index + made.late, write));
                 machine.on_write(Millis(now), WriteOutcome::Unknown);
             }
             Step::Write(write) => machine.on_write(Millis(now), rows.answer(&write, made.fate)),
--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -1,13 +1,12 @@
-//! At most once: who may send a request that must not be repeated, and what
-//! everybody else is told.
+//! At-most-once execution: decides which entry may send a request that must not be repeated,
+//! and what other submissions of it are told.
 //!
-//! A request is known by its workspace and its identity. Before an entry sends
-//! it to an endpoint, it puts a [`Claim`] where there is none ([`Claiming`]); the
-//! claim is never taken over by another life of an entry. [`Closing`] takes a
-//! claim back that was given up before anything was sent, or records how the
-//! request ended. [`Issued`] identities need no claim, since they name the one
-//! life that may run them. [`Sightings`] decide whether a request that could not
-//! be claimed may be refused as not run.
+//! A request is identified by its workspace and its identity. Before an entry sends it to an
+//! endpoint, it writes a [`Claim`], provided that none exists ([`Claiming`]); another
+//! incarnation never takes the claim over. [`Closing`] deletes a claim that was abandoned
+//! before anything was sent, or records how the request ended. [`Issued`] identities need no
+//! claim, since they name the only incarnation that may run them. [`Sightings`] determine
+//! whether a request that could not be claimed may be refused as not run.
 
 pub mod abandoned;
 pub mod claim;
--- a/crates/core/src/once/abandoned.rs
+++ b/crates/core/src/once/abandoned.rs
@@ -1,14 +1,14 @@
-//! What one life of an entry remembers of the submissions that it gave up unsent.
+//! Submissions that one incarnation of an entry abandoned unsent.
 
 use std::collections::BTreeSet;
 
 use crate::name;
 
-/// The most submissions remembered, some megabytes of them. One that is forgotten
-/// counts as possibly sent, which is always safe.
+/// Maximum number of submissions remembered; they take some megabytes. A forgotten one is
+/// treated as possibly sent, which is always safe.
 const MAX_ENTRIES: usize = 100_000;
 
-/// Submissions of one life that were not sent to an endpoint, and never will be.
+/// Submissions of one incarnation that were not sent to an endpoint and never will be.
 ///
 /// ```
 /// use woodgap_core::name::{Incarnation, Request};
@@ -18,7 +18,7 @@
 /// let own = Request { incarnation: Incarnation(1), sequence: 7 };
 /// abandoned.abandon(own);
 /// assert!(abandoned.is_abandoned(own));
-/// // Of another life nothing is known.
+/// // Nothing is known about other incarnations.
 /// assert!(!abandoned.is_abandoned(Request { incarnation: Incarnation(2), ..own }));
 /// ```
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 }
 
 impl AbandonedRequests {
-    /// The notes of a new life.
+    /// Creates an empty set for a new incarnation.
     pub fn new(incarnation: name::Incarnation) -> Self {
         Self {
             incarnation,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Notes that a submission will never be sent; to be called before anything
-    /// that builds on it.
+    /// Records that a submission will never be sent. Call it before any action that relies on
+    /// this.
     pub fn abandon(&mut self, request: name::Request) {
         if request.incarnation != self.incarnation {
             return;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether a submission is known never to be sent.
+    /// Whether a submission is known to have been abandoned.
     pub fn is_abandoned(&self, request: name::Request) -> bool {
         request.incarnation == self.incarnation && self.abandoned.contains(&request.sequence)
     }
--- a/crates/core/src/once/claim.rs
+++ b/crates/core/src/once/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of one request, as its row in the table service.
+//! The claim of a request, as stored in its row of the table service.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use crate::name;
 use crate::verdict::Verdict;
 
-/// What a request is known by: its identity within its workspace.
+/// Key of a request: its identity within its workspace.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The workspace.
@@ -19,7 +19,7 @@
 }
 
 impl Key {
-    /// The identity of a workspace's request.
+    /// Creates the key of a workspace's request.
     pub fn new(workspace: &name::Workspace, identity: &str) -> Self {
         Self {
             workspace: workspace.clone(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The key of the claim's row. Names of workspaces have no slash, so no two
+    /// Returns the key of the claim's row. Workspace names contain no slash, so no two
     /// workspaces share a row.
     ///
     /// ```
@@ -40,12 +40,12 @@
         format!("{}/{}", self.workspace, self.identity)
     }
 
-    /// A name of fixed length and plain letters, for the object store.
+    /// Returns a name of fixed length in hexadecimal digits, for the object store.
     pub fn digest(&self) -> Digest {
         Digest::of([self.workspace.as_str().as_bytes(), self.identity.as_bytes()])
     }
 
-    /// 64 bits of the digest, the same at every entry; never 0.
+    /// Returns 64 bits of the digest, the same on every entry; never 0.
     pub fn hash(&self) -> u64 {
         let digest = self.digest();
         let bits = u64::from_str_radix(&digest.0[..16], 16).unwrap_or(0);
@@ -53,16 +53,17 @@
     }
 }
 
-/// A hash of what is asked for: equal ones are the same request.
+/// A hash of the content of a request: equal hashes mean the same request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(String);
 
 impl Digest {
-    /// Hexadecimal digits kept: 128 bits, far beyond chance.
+    /// Number of hexadecimal digits kept: 128 bits, which makes an accidental collision
+    /// negligible.
     const DIGITS: usize = 32;
 
-    /// The hash of some parts; where one ends matters.
+    /// Hashes some parts; the boundaries between them are part of the hash.
     ///
     /// ```
     /// use woodgap_core::once::Digest;
@@ -86,26 +87,26 @@
     }
 }
 
-/// Who may run a request, and what became of it.
+/// Which incarnation may run a request, and how the request ended.
 ///
-/// Only the life of the entry that wrote a claim may change or delete it.
+/// Only the incarnation that wrote a claim may change or delete it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The submission that the claim is for; its incarnation is the holder.
+    /// The submission that owns the claim; its incarnation is the holder.
     pub request: name::Request,
-    /// Where the holder takes HTTP requests.
+    /// Address at which the holder accepts HTTP requests.
     pub address: SocketAddr,
-    /// What is asked for.
+    /// Hash of the request's content.
     pub body: Digest,
     /// When it was claimed, in milliseconds since the Unix epoch.
     pub at: Millis,
-    /// How it ended, once that is known.
+    /// How the request ended, once known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<End>,
 }
 
 impl Claim {
-    /// The life of the entry that may run the request.
+    /// Returns the incarnation that may run the request.
     pub fn holder(&self) -> name::Incarnation {
         self.request.incarnation
     }
@@ -115,18 +116,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "end", rename_all = "snake_case")]
 pub enum End {
-    /// The whole answer came.
+    /// The complete answer was received.
     Complete {
-        /// Whether the object store has it.
+        /// Whether the answer is in the object store.
         kept: bool,
     },
-    /// There is no whole answer. Never a refusal as not run: such a claim is deleted.
+    /// There is no complete answer. Never a refusal as not run: such a claim is deleted.
     Failed {
-        /// The stable code of the error.
+        /// The stable error code.
         code: String,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: Verdict,
-        /// For people.
+        /// Human-readable message.
         message: String,
     },
 }
--- a/crates/core/src/once/claiming.rs
+++ b/crates/core/src/once/claiming.rs
@@ -1,34 +1,34 @@
-//! Claims a request before it may be sent to an endpoint.
+//! State machine that claims a request before it may be sent to an endpoint.
 
 use crate::clock::Millis;
 use crate::name;
 use crate::once::step::doubled;
 use crate::once::{AbandonedRequests, Claim, Row, Step, Written};
 
-/// The wait after a refused or failed call; it doubles with each further one.
+/// Delay after a refused or failed call; it doubles with each further one.
 const INITIAL_WAIT: Millis = Millis(10);
-/// The longest wait: a caller waits for the claim.
+/// Upper bound of the delay: a caller is waiting for the claim.
 const MAX_WAIT: Millis = Millis(250);
 
-/// How a claim was settled.
+/// Result of an attempt to claim an identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The claim is written: this submission may be sent. The row has this version.
+    /// The claim is written, and this submission may be sent. Contains the row's version.
     Acquired(u64),
-    /// The identity belongs to another submission: follow that one.
+    /// Another submission holds the identity: follow that one.
     Held(Claim),
-    /// It is not known in time who holds the identity. This submission must
-    /// never be sent, also if its claim turns out to have been written.
+    /// The holder could not be determined in time. This submission must never be sent, even if
+    /// its claim turns out to have been written.
     Unresolved {
-        /// Whether the claim may stand in the table, or yet come to.
+        /// Whether this submission's claim may exist in the table, now or later.
         may_exist: bool,
     },
 }
 
 /// Claims one identity for one submission.
 ///
-/// The licence to send is an acknowledged write, or a read that shows this very
-/// submission's claim; nothing else is.
+/// A submission may be sent only after an acknowledged write, or after a read that shows this
+/// submission's own claim.
 #[derive(Clone, Debug)]
 pub struct Claiming {
     request: name::Request,
@@ -41,8 +41,8 @@
 }
 
 impl Claiming {
-    /// Claims for a submission, which is settled by the deadline; by the sooner
-    /// time if the table service did nothing until then but refuse.
+    /// Starts a claim that ends by `deadline`, or by the earlier `refused_deadline` if every
+    /// call until then was refused by the table service.
     pub fn new(
         request: name::Request,
         refused_deadline: Millis,
@@ -64,7 +64,7 @@
         (claiming, first)
     }
 
-    /// Takes in what became of the write.
+    /// Processes the outcome of the write.
     pub fn on_write(&mut self, now: Millis, written: Written) -> Step<ClaimOutcome> {
         match written {
             Written::Committed(version) => Step::Done(ClaimOutcome::Acquired(version)),
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Takes in the row, none if there is none.
+    /// Processes a read of the row; `None` if there is no row.
     ///
-    /// `abandoned` name the submissions of this life that were given up unsent.
+    /// `abandoned` contains the submissions of this incarnation that were abandoned unsent.
     pub fn on_read(
         &mut self,
         now: Millis,
@@ -93,7 +93,7 @@
         abandoned: &AbandonedRequests,
     ) -> Step<ClaimOutcome> {
         let Some(Row { claim, version }) = row else {
-            // After a conflict this can only be a stale read, or a row just deleted.
+            // After a conflict, this is either a stale read or a row that was just deleted.
             let after = self.next_wait();
             return self.write(now, 0, after);
         };
@@ -101,15 +101,15 @@
             return Step::Done(ClaimOutcome::Acquired(version));
         }
         if abandoned.is_abandoned(claim.request) {
-            // Writing over the row, rather than using it as it stands, shuts out a
-            // delete of it that may still be on its way.
+            // Overwriting the row, instead of adopting it, makes a delete of it that is still
+            // in flight fail.
             let after = self.next_wait();
             return self.write(now, version, after);
         }
         Step::Done(ClaimOutcome::Held(claim))
     }
 
-    /// Takes in that the row could not be read.
+    /// Records that the row could not be read.
     pub fn on_read_error(&mut self, now: Millis) -> Step<ClaimOutcome> {
         let after = self.next_wait();
         self.read(now, after)
--- a/crates/core/src/once/claiming/tests.rs
+++ b/crates/core/src/once/claiming/tests.rs
@@ -7,8 +7,8 @@
 const REFUSED_DEADLINE: Millis = Millis(200);
 const DEADLINE: Millis = Millis(1_000);
 
-/// This life's submission, one that it gave up, one that it may have sent, and
-/// another life's.
+/// A submission of this incarnation, one that it abandoned, one that it may have sent, and one
+/// of another incarnation.
 const OWN: Request = request(1, 9);
 const ABANDONED: Request = request(1, 3);
 const SENT: Request = request(1, 4);
@@ -37,9 +37,9 @@
     Written(Written),
     Seen(Option<Request>),
     ReadFailed,
-    /// From here on the sooner time has passed.
+    /// From here on, the deadline for refused calls has passed.
     RefusedDeadlinePassed,
-    /// From here on the deadline has passed.
+    /// From here on, the deadline has passed.
     DeadlinePassed,
 }
 
--- a/crates/core/src/once/closing.rs
+++ b/crates/core/src/once/closing.rs
@@ -1,19 +1,20 @@
-//! Closes a claim: takes it back unsent, or records how its request ended.
+//! State machine that closes a claim: deletes it unsent, or records how its request ended.
 
 use crate::clock::Millis;
 use crate::name;
 use crate::once::step::doubled;
 use crate::once::{Row, Step, Written};
 
-/// The wait after a refused or failed call; it doubles with each further one.
+/// Delay after a refused or failed call; it doubles with each further one.
 const INITIAL_WAIT: Millis = Millis(50);
-/// The longest wait: nobody waits for the end of it.
+/// Upper bound of the delay: no caller is waiting for the result.
 const MAX_WAIT: Millis = Millis(5_000);
 
-/// Changes the row of one's own claim, however long the table service is out.
+/// Changes the row of the incarnation's own claim and retries for as long as the table service
+/// is unavailable.
 ///
-/// Each write requires the version that was read, so a late or repeated one
-/// never touches what came after.
+/// Each write requires the version that was read, so a late or repeated write never affects a
+/// newer row.
 #[derive(Clone, Debug)]
 pub struct Closing {
     request: name::Request,
@@ -22,7 +23,7 @@
 }
 
 impl Closing {
-    /// Closes a submission's claim. `version` is that of its row, where known.
+    /// Starts closing a submission's claim. `version` is that of its row, if known.
     pub fn new(request: name::Request, version: Option<u64>) -> (Self, Step<()>) {
         let closing = Self {
             request,
@@ -37,7 +38,7 @@
         (closing, first)
     }
 
-    /// Takes in what became of the write.
+    /// Processes the outcome of the write.
     pub fn on_write(&mut self, written: Written) -> Step<()> {
         match written {
             Written::Committed(_) => Step::Done(()),
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Takes in the row, none if there is none.
+    /// Processes a read of the row; `None` if there is no row.
     pub fn on_read(&mut self, row: Option<&Row>) -> Step<()> {
         let own = row.filter(|row| row.claim.request == self.request);
         match own {
@@ -62,12 +63,12 @@
                     after: Millis::ZERO,
                 }
             }
-            // Closed already, deleted, or never written.
+            // Already closed, deleted, or never written.
             _ => Step::Done(()),
         }
     }
 
-    /// Takes in that the row could not be read.
+    /// Records that the row could not be read.
     pub fn on_read_error(&mut self) -> Step<()> {
         Step::Read {
             after: self.next_wait(),
--- a/crates/core/src/once/identity.rs
+++ b/crates/core/src/once/identity.rs
@@ -1,4 +1,4 @@
-//! Identities that an entry issues: each names the one life that may run it.
+//! Request identities issued by an entry; each names the only incarnation that may run it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,30 +9,30 @@
 use crate::clock::Millis;
 use crate::name;
 
-/// What every issued identity begins with; callers' own may not.
+/// Prefix of every issued identity; identities chosen by callers may not start with it.
 pub const PREFIX: &str = "wg1-";
-/// How long after its issue an identity may be submitted first.
+/// How long after its issue an identity may be submitted for the first time.
 pub const LIFETIME: Millis = Millis::from_secs(600);
-/// Keeps the key apart from the fleet key's other uses.
+/// Key derivation context, which separates this key from other uses of the fleet key.
 const KEY_CONTEXT: &str = "woodgap 2026-01 identities issued by an entry";
-/// Hexadecimal digits of the code that authenticates an identity: 128 bits.
+/// Hexadecimal digits of the message authentication code of an identity: 128 bits.
 const MAC_DIGITS: usize = 32;
 
-/// An identity that an entry has issued, as its text says.
+/// The parsed content of an issued identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Issued {
-    /// The only life that may run it.
+    /// The only incarnation that may run it.
     pub issuer: name::Incarnation,
-    /// Counts the identities of that life.
+    /// Sequence number among the identities of that incarnation.
     pub sequence: u64,
     /// When it was issued, on the issuer's clock.
     pub at: Millis,
-    /// Where the issuer takes HTTP requests.
+    /// Address at which the issuer accepts HTTP requests.
     pub address: SocketAddr,
 }
 
 impl Issued {
-    /// Whether the issuer, at its own time, still takes a first submission.
+    /// Whether the issuer still accepts a first submission at `now`, on its own clock.
     pub fn fresh(&self, now: Millis) -> bool {
         now < self.at + LIFETIME
     }
@@ -54,9 +54,9 @@
     }
 }
 
-/// The text is no identity in the issued form.
+/// The text is not an identity issued to this workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no identity that an entry has issued to this workspace")]
+#[error("the identity was not issued to this workspace")]
 pub struct NotIssued;
 
 impl FromStr for Issued {
@@ -79,8 +79,7 @@
     }
 }
 
-/// Issues identities and tells them from invented ones; every entry of a fleet
-/// can check what another has issued.
+/// Issues and verifies identities; every entry of a fleet can verify those of the others.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -104,25 +103,26 @@
 }
 
 impl Issuer {
-    /// An issuer of the fleet with this key.
+    /// Creates an issuer for the fleet with this key.
     pub fn new(fleet_key: &[u8; 32]) -> Self {
         Self {
             key: blake3::derive_key(KEY_CONTEXT, fleet_key),
         }
     }
 
-    /// The identity as its caller gets it: only visible ASCII, safe in a path.
+    /// Encodes an identity as the text that the caller receives: visible ASCII only, safe in a
+    /// URL path.
     pub fn encode(&self, issued: &Issued, workspace: &name::Workspace) -> String {
         let plain = issued.to_string();
         let mac = self.mac(&plain, workspace);
         format!("{plain}-{mac}")
     }
 
-    /// Reads an identity that some entry of the fleet issued to the workspace.
+    /// Verifies and parses an identity that some entry of the fleet issued to the workspace.
     ///
     /// # Errors
     ///
-    /// [`NotIssued`] if none did.
+    /// [`NotIssued`] if the text is not such an identity.
     pub fn verify(&self, text: &str, workspace: &name::Workspace) -> Result<Issued, NotIssued> {
         let (plain, mac) = text.rsplit_once('-').ok_or(NotIssued)?;
         let expected = self.mac(plain, workspace);
--- a/crates/core/src/once/sightings.rs
+++ b/crates/core/src/once/sightings.rs
@@ -1,7 +1,8 @@
-//! Which lives of entries may know of an identity while the table can't be asked.
+//! Which incarnations of entries may know of an identity while the table service is
+//! unavailable.
 //!
-//! Without the table, an entry may say that a request did not run only if every
-//! life that could have run it says so. One that is gone says nothing.
+//! Without the table, an entry may report a request as not run only if every incarnation that
+//! could have run it confirms this. An incarnation that has ended can't confirm anything.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,40 +12,41 @@
 use crate::clock::Millis;
 use crate::name::Incarnation;
 
-/// How long a life that went is held against a verdict, and how long each life
-/// remembers what it ran: as long as callers may come back with an identity.
+/// How long an incarnation that has disappeared prevents a "not run" verdict, and how long each
+/// incarnation remembers what it ran: as long as callers may retry with an identity.
 pub const HORIZON: Millis = Millis::from_secs(600);
 
-/// Whether a life knows of an identity.
+/// Whether an incarnation knows of an identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Knowledge {
-    /// It never sent it to an endpoint, and has no submission that it could send.
+    /// It never sent the request to an endpoint, and has no submission that it could still
+    /// send.
     None,
-    /// It may send it yet, or has forgotten some of what it sent.
+    /// It may still send the request, or has forgotten some of what it sent.
     Unsure,
-    /// It has the running answer, the kept one, or the verdict.
+    /// It has the answer in progress, the stored one, or the verdict.
     Has,
 }
 
-/// What an entry answers to the question whether it knows of an identity.
+/// Reply of an entry that was asked about an identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The life that answers.
+    /// The incarnation that replies.
     pub life: Incarnation,
     /// What it knows.
     pub knowledge: Knowledge,
-    /// The lives that it has seen within the horizon.
+    /// The incarnations that it has seen within [`HORIZON`].
     pub seen: Vec<Incarnation>,
 }
 
-/// What all answers come to.
+/// Conclusion from all replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
     /// The entry at this address has the identity.
     Found(SocketAddr),
-    /// No life has sent it, or can.
+    /// No incarnation has sent the request or can still send it.
     NotSent,
-    /// A life that could have is gone, did not answer, or is not sure.
+    /// An incarnation that could have sent it has ended, did not reply, or is unsure.
     Inconclusive,
 }
 
@@ -54,7 +56,7 @@
     last: Millis,
 }
 
-/// The lives of other entries that one life has seen.
+/// The incarnations of other entries that one incarnation has seen.
 #[derive(Clone, Debug)]
 pub struct Sightings {
     own: Incarnation,
@@ -62,7 +64,7 @@
 }
 
 impl Sightings {
-    /// A new life, which has seen no other.
+    /// Creates an empty set for a new incarnation.
     pub fn new(own: Incarnation) -> Self {
         Self {
             own,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes in the lives that are there now.
+    /// Records the incarnations that are present at `now` and drops expired ones.
     pub fn record(
         &mut self,
         now: Millis,
@@ -86,17 +88,17 @@
             .retain(|_, sighting| now < sighting.last + HORIZON);
     }
 
-    /// Where to ask: every life that was seen within the horizon.
+    /// Returns the addresses of all incarnations seen within [`HORIZON`].
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.seen.values().map(|sighting| sighting.address)
     }
 
-    /// The lives that were seen within the horizon.
+    /// Returns the incarnations seen within [`HORIZON`].
     pub fn seen(&self) -> Vec<Incarnation> {
         self.seen.keys().copied().collect()
     }
 
-    /// What the answers come to.
+    /// Returns the conclusion from the replies.
     pub fn evaluate(&self, replies: &[Reply]) -> Finding {
         let has = |reply: &&Reply| reply.knowledge == Knowledge::Has;
         let found = replies.iter().find(has);
--- a/crates/core/src/once/sightings/tests.rs
+++ b/crates/core/src/once/sightings/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The life that asks, two that it sees, an earlier life of the second, one that
+/// The asking incarnation, two that it sees, an earlier incarnation of the second, and one that
 /// it never saw.
 const OWN: u64 = 1;
 const A: u64 = 2;
--- a/crates/core/src/once/step.rs
+++ b/crates/core/src/once/step.rs
@@ -1,41 +1,41 @@
-//! What the machines of a claim's row want done, and what they are told.
+//! Steps and inputs of the state machines that work on a claim's row.
 
 use crate::clock::Millis;
 use crate::once::Claim;
 
-/// The next step of a machine.
+/// The next step of a state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<T> {
-    /// Change the row if it has this version, 0 for "no such row".
+    /// Write the row if it has this version; 0 if the row must not exist.
     Write {
-        /// The version that the row must have.
+        /// The required version.
         over: u64,
-        /// How long to wait first.
+        /// Delay before the call.
         after: Millis,
     },
     /// Read the row.
     Read {
-        /// How long to wait first.
+        /// Delay before the call.
         after: Millis,
     },
-    /// Nothing more is to be done.
+    /// The machine has finished, with this result.
     Done(T),
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// It took effect, and the row has this version now (0 for a delete).
+    /// It took effect; the row now has this version (0 after a delete).
     Committed(u64),
-    /// The row had another version; nothing was done.
+    /// The row had a different version; nothing was written.
     Conflict,
-    /// No answer came: it may have taken effect, or may yet.
+    /// There was no response: it may have taken effect, or may still do so.
     Unknown,
-    /// Nothing was done.
+    /// The call failed and nothing was written.
     Unavailable,
 }
 
-/// A row as it was read.
+/// A row as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The claim.
@@ -44,7 +44,7 @@
     pub version: u64,
 }
 
-/// Doubles a wait up to a bound.
+/// Doubles a delay up to a maximum.
 pub(super) fn doubled(wait: Millis, max: Millis) -> Millis {
     Millis(wait.0 * 2).min(max)
 }
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -1,4 +1,5 @@
-//! Which revision of the configuration is in force here, and whether it may be trusted.
+//! Tracks which revision of the configuration is in force on this entry, and whether it is
+//! recent enough to act on.
 
 pub mod exchange;
 pub mod message;
@@ -11,27 +12,27 @@
 use crate::clock::Millis;
 use crate::name;
 
-/// What the entry should do about its configuration.
+/// Status of the entry's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// There is none yet: serve no one.
+    /// There is no configuration yet: serve no requests.
     Empty,
-    /// The one in force was confirmed lately: serve.
+    /// The revision in force was confirmed within the limit: serve requests.
     Confirmed,
-    /// Nobody confirmed it for longer than the limit: take no new work.
+    /// The revision was not confirmed within the limit: accept no new work.
     Unconfirmed,
 }
 
-/// A revision that another entry has in force.
+/// A revision that a peer has in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerRevision {
     /// The revision.
     pub revision: u64,
-    /// Who has it.
+    /// The incarnation that has it.
     pub holder: name::Incarnation,
 }
 
-/// Follows what the table service and the other entries say.
+/// Tracks the revisions reported by the table service and by peers.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
@@ -55,7 +56,7 @@
 }
 
 impl Tracker {
-    /// Nothing is known; a confirmation counts for as long as the limit.
+    /// Creates a tracker without a configuration; a confirmation is valid for `limit`.
     pub fn new(limit: Millis) -> Self {
         Self {
             limit,
@@ -65,9 +66,10 @@
         }
     }
 
-    /// A revision was put in force here. One that is not higher changes nothing.
+    /// Records that a revision was put in force here. A revision that is not higher than the
+    /// current one changes nothing.
     ///
-    /// Returns whether it is the new one.
+    /// Returns whether it is the new revision.
     pub fn applied(&mut self, revision: u64) -> bool {
         if self.in_force.is_some_and(|in_force| revision <= in_force) {
             return false;
@@ -76,18 +78,18 @@
         true
     }
 
-    /// The change log was read up to its end, and all of it is in force here.
-    /// `asked` is when the read was sent, since its answer may be late.
+    /// Records that the change log was read to its end and is fully in force here. `asked` is
+    /// when the read was sent, since its answer may be late.
     ///
-    /// A log that lacks what another entry has in force was read in an old
-    /// state, and confirms nothing.
+    /// A log that lacks a revision that a peer has in force was a stale read, and confirms
+    /// nothing.
     pub fn log_read(&mut self, asked: Millis) {
         if self.newer().is_none() {
             self.confirm(asked);
         }
     }
 
-    /// Another entry is said to have a revision in force; confirms nothing.
+    /// Records the revision of a peer as reported by a third party; this confirms nothing.
     pub fn peer_reported(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
         let known = self
             .others
@@ -98,9 +100,9 @@
         }
     }
 
-    /// Another entry was heard of first hand, with what it has in force.
+    /// Records the revision that a peer reported itself.
     ///
-    /// One that has no higher revision confirms ours; one that has is news.
+    /// A revision that is not higher confirms the one in force here; a higher one is fetched.
     pub fn peer_heard(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
         self.others.insert(holder, (now, revision));
         if self.in_force.is_some_and(|in_force| revision <= in_force) {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Another entry's life ended.
+    /// Removes a peer whose incarnation has ended.
     pub fn gone(&mut self, holder: name::Incarnation) {
         self.others.remove(&holder);
     }
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The highest revision that another entry has and this one lacks.
+    /// Returns the highest revision of a peer, if it is higher than the one in force here.
     pub fn newer(&self) -> Option<PeerRevision> {
         let peer_revision =
             |(holder, (_, revision)): (&name::Incarnation, &(Millis, u64))| PeerRevision {
@@ -136,18 +138,18 @@
             .then_some(newest)
     }
 
-    /// The revision in force here.
+    /// Returns the revision in force here.
     pub fn in_force(&self) -> Option<u64> {
         self.in_force
     }
 
-    /// Until when new work may be taken on the word of the last confirmation.
+    /// Returns until when new work may be accepted, by the last confirmation.
     pub fn trusted_until(&self) -> Option<Millis> {
         self.in_force?;
         self.confirmed.map(|confirmed| confirmed + self.limit)
     }
 
-    /// Whether new work may be taken.
+    /// Returns the status of the configuration at `now`.
     pub fn standing(&self, now: Millis) -> Standing {
         if self.in_force.is_none() {
             return Standing::Empty;
--- a/crates/core/src/revision/exchange.rs
+++ b/crates/core/src/revision/exchange.rs
@@ -1,5 +1,5 @@
-//! Passes changes on between entries, so that a revision spreads without the
-//! table service, and during its outages.
+//! Distributes configuration changes between entries, so that a revision spreads without the
+//! table service and during its outages.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,33 +8,33 @@
 use crate::revision::message::{Change, Message, Part};
 use crate::revision::{PeerRevision, Tracker};
 
-/// Changes kept to answer others; who is further behind gets everything. Some
-/// minutes of changes at 12,000 a day, and under 300 KB.
+/// Number of changes kept to answer peers; a peer that lacks more gets a snapshot. At 12,000
+/// changes a day this covers some minutes and takes under 300 KB.
 const MAX_RECENT_CHANGES: usize = 256;
-/// Bytes of changes in one answer at most; who lacks more asks again.
+/// Maximum size of the changes in one response, in bytes; a peer that lacks more asks again.
 const MAX_RESPONSE_BYTES: usize = 32 * 1024;
-/// How long an answer is waited for before another entry, or the same again, is asked.
+/// How long to wait for a response before asking again, the same peer or another.
 const REQUEST_TIMEOUT: Millis = Millis(300);
 
-/// What the exchange wants done.
+/// An action for the caller to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to an entry.
+    /// Sends a message to an entry.
     Send(name::Incarnation, Message),
-    /// Send everything that is in force to an entry.
+    /// Sends a snapshot of the configuration in force to an entry.
     SendSnapshot(name::Incarnation),
-    /// Put changes in force, in their order.
+    /// Puts changes in force, in order.
     Apply(Vec<Change>),
-    /// Put everything in force at once, in place of an older whole.
+    /// Replaces the configuration by a newer snapshot.
     Replace {
-        /// The revision of the whole.
+        /// The revision of the snapshot.
         revision: u64,
         /// The documents, as JSON, templates before workspaces.
         documents: Vec<String>,
     },
 }
 
-/// One entry's side of the exchange.
+/// One entry's state in the exchange.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     tracker: Tracker,
@@ -44,7 +44,7 @@
 }
 
 impl Exchange {
-    /// Nothing is in force; a confirmation counts for as long as the limit.
+    /// Creates an exchange without a configuration; a confirmation is valid for `limit`.
     pub fn new(limit: Millis) -> Self {
         Self {
             tracker: Tracker::new(limit),
@@ -54,13 +54,13 @@
         }
     }
 
-    /// What is in force, and whether it may be trusted.
+    /// Returns the tracker of the revision in force.
     pub fn tracker(&self) -> &Tracker {
         &self.tracker
     }
 
-    /// The entry has put a revision in force, with the changes that led to it
-    /// where they are known.
+    /// Records that this entry put a revision in force, with the changes that led to it where
+    /// they are known.
     pub fn in_force(&mut self, revision: u64, changes: &[Change]) {
         if !self.tracker.applied(revision) {
             return;
@@ -88,27 +88,27 @@
         }
     }
 
-    /// The change log was read to its end; the read was sent at `asked`.
+    /// Records that the change log was read to its end; the read was sent at `asked`.
     pub fn log_read(&mut self, asked: Millis) {
         self.tracker.log_read(asked);
     }
 
-    /// Another entry is said to have a revision in force, by whomever.
+    /// Records the revision of a peer as reported by a third party.
     pub fn peer_reported(&mut self, now: Millis, holder: name::Incarnation, revision: u64) {
         self.tracker.peer_reported(now, holder, revision);
     }
 
-    /// Another entry was heard of first hand.
+    /// Records the revision that a peer reported itself.
     pub fn peer_heard(&mut self, now: Millis, from: name::Incarnation, revision: u64) {
         self.tracker.peer_heard(now, from, revision);
     }
 
-    /// Another entry's life ended.
+    /// Removes a peer whose incarnation has ended.
     pub fn gone(&mut self, holder: name::Incarnation) {
         self.tracker.gone(holder);
     }
 
-    /// Asks for what is newer, if anything is.
+    /// Requests newer changes if a peer has any.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         let Some(PeerRevision { holder, .. }) = self.tracker.newer() else {
             return;
@@ -124,7 +124,7 @@
         out.push(Action::Send(holder, Message::Want(after)));
     }
 
-    /// Takes in a message of another entry.
+    /// Processes a message from a peer.
     pub fn on_message(
         &mut self,
         now: Millis,
--- a/crates/core/src/revision/exchange/tests.rs
+++ b/crates/core/src/revision/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! How a revision spreads between entries over a network that loses and repeats.
+//! Distribution of a revision over a network that loses, repeats and reorders messages.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -95,7 +95,7 @@
     assert_eq!(asked, [0, 300, 600, 900]);
 }
 
-/// One entry with the state that its exchange decides on.
+/// An entry with its exchange and the revisions it put in force.
 struct Node {
     exchange: Exchange,
     revisions: Vec<u64>,
@@ -138,8 +138,8 @@
 }
 
 proptest! {
-    /// Whatever is lost, repeated or reordered, no entry goes back, and once
-    /// the network delivers, all have the newest.
+    /// Under loss, repetition and reordering, no entry goes back to an older revision, and all
+    /// reach the newest one once the network delivers.
     #[test]
     fn all_get_the_newest_and_none_goes_back(
         fates in prop::collection::vec((0_u8..4, any::<prop::sample::Index>()), 0..200),
@@ -163,7 +163,8 @@
     }
 }
 
-/// Everyone hears of everyone's revision and asks; one message meets its fate.
+/// Every entry learns every peer's revision and sends its requests; then one message is
+/// delivered, lost or repeated.
 fn step(
     nodes: &mut [Node],
     network: &mut Vec<(usize, usize, Message)>,
--- a/crates/core/src/revision/message.rs
+++ b/crates/core/src/revision/message.rs
@@ -1,43 +1,43 @@
-//! Messages by which entries pass configuration on.
+//! Messages that distribute the configuration between entries.
 
 use serde::{Deserialize, Serialize};
 
 /// A message of the configuration exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Says what the sender has just put in force.
+    /// Announces the revision that the sender has just put in force.
     InForce(u64),
-    /// Asks for what came after a revision; 0 asks for everything.
+    /// Requests the changes after a revision; 0 requests a full snapshot.
     Want(u64),
-    /// Changes in the order of their revisions, without gap.
+    /// Changes in the order of their revisions, without gaps.
     Changes(Vec<Change>),
-    /// A part of everything that is in force.
+    /// A part of a snapshot of the configuration in force.
     Part(Part),
 }
 
-/// One change.
+/// A change of one document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: u64,
-    /// The document after it, as JSON: its open fields have no other form.
+    /// The document after the change, as JSON, since its open fields have no other form.
     pub document: String,
 }
 
 /// A part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// The revision of the whole.
+    /// The revision of the snapshot.
     pub revision: u64,
-    /// Counts the parts from 0.
+    /// Index of the part, starting at 0.
     pub index: u32,
-    /// How many parts there are.
+    /// Number of parts.
     pub of: u32,
     /// Documents, as JSON, templates before workspaces.
     pub documents: Vec<String>,
 }
 
-/// Documents' bytes in one part: well below what one frame of a stream takes.
+/// Maximum size of the documents in one part, in bytes: well below the limit of a stream frame.
 const MAX_PART_BYTES: usize = 32 * 1024;
 
 /// Splits a snapshot into parts.
--- a/crates/core/src/revision/tests.rs
+++ b/crates/core/src/revision/tests.rs
@@ -1,4 +1,4 @@
-//! What confirms a revision, and what does not.
+//! Which events confirm a revision.
 
 use rstest::rstest;
 
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -1,6 +1,6 @@
-//! Random orders of submissions, faults and deaths: one identity, some lives of
-//! entries, one table. At most one of them sends the request, and none is told
-//! "not run" once it was sent.
+//! Randomised test of one identity submitted to several incarnations that share one table, with
+//! faults and restarts. At most one of them sends the request, and none reports "not run" after
+//! it was sent.
 
 #[path = "once/world.rs"]
 mod world;
@@ -57,7 +57,7 @@
     }
 }
 
-/// A claims, and its acknowledgement comes.
+/// The first incarnation claims the identity, and the write is acknowledged.
 const CLAIM: [Move; 2] = [Submit(0), step(0, Write::Acknowledge)];
 
 #[rstest]
--- a/crates/core/tests/once/world.rs
+++ b/crates/core/tests/once/world.rs
@@ -1,4 +1,4 @@
-//! Some lives of entries and one table, moved by hand.
+//! Simulation of several incarnations of entries that share one table.
 
 use woodgap_core::clock::Millis;
 use woodgap_core::name::{Incarnation, Request};
@@ -6,49 +6,49 @@
     AbandonedRequests, Claim, ClaimOutcome, Claiming, Closing, Digest, Row, Step, Written,
 };
 
-const PATIENCE: Millis = Millis(1_000);
+const CLAIM_TIMEOUT: Millis = Millis(1_000);
 
-/// What becomes of a write that a life sends.
+/// Fault injected into a write.
 #[derive(Clone, Copy, Debug)]
 pub enum Write {
     Acknowledge,
     LoseAcknowledgement,
-    /// No answer, and it takes effect later if at all.
+    /// No response; it takes effect later, if at all.
     Late,
     Lose,
     Refuse,
 }
 
-/// One thing that happens.
+/// A step of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Move {
-    /// A caller submits the identity at a life.
+    /// A caller submits the identity to an incarnation.
     Submit(usize),
-    /// A life carries out its next step at the table.
+    /// An incarnation performs its next call to the table.
     Step {
         life: usize,
         write: Write,
-        /// How many states old its reads are.
+        /// By how many states its reads are stale.
         stale: usize,
     },
     /// A late write takes effect.
     Land(usize),
-    /// The time of a life's claim runs out.
+    /// The deadline of an incarnation's claim passes.
     Expire(usize),
-    /// A life sends what it may send.
+    /// An incarnation sends its submission if it may.
     Send(usize),
-    /// A life sheds what it has not sent.
+    /// An incarnation sheds its submission if it has not sent it.
     Shed(usize),
-    /// A life that could not claim asks the others, who answer or don't.
+    /// An incarnation that could not claim asks the others, which may not reply.
     Ask { life: usize, answers: bool },
-    /// A life ends and another begins.
+    /// An incarnation ends and a new one starts.
     Restart(usize),
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     Claiming(Claiming, Step<ClaimOutcome>),
-    /// May be sent; the row has this version.
+    /// The submission may be sent; the row has this version.
     Licensed(u64),
     Held(Claim),
     Unresolved,
@@ -63,17 +63,17 @@
 struct Life {
     incarnation: Incarnation,
     abandoned: AbandonedRequests,
-    /// The one submission that others at this life attach to.
+    /// The submission that others at this incarnation attach to.
     current: Option<usize>,
     closings: Vec<(Closing, Request, Step<()>)>,
 }
 
-/// A change of the row: its condition and its new value.
+/// A write of the row: its required version and its new value.
 type Change = (u64, Option<Claim>);
 
 pub struct World {
     now: Millis,
-    /// Every state of the row, the newest last.
+    /// History of the row's states, the newest last.
     states: Vec<Option<Row>>,
     late: Vec<Change>,
     lives: Vec<Life>,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What each submission came to, in the order in which they were made.
+    /// Returns the result of each submission, in order of submission.
     pub fn told(&self) -> String {
         let submissions = self.submissions.iter();
         let told: Vec<&str> = submissions.map(|one| one.phase.name()).collect();
@@ -132,7 +132,8 @@
             incarnation: self.lives[life].incarnation,
             sequence: self.submissions.len() as u64,
         };
-        let (claiming, first) = Claiming::new(request, self.now + PATIENCE, self.now + PATIENCE);
+        let (claiming, first) =
+            Claiming::new(request, self.now + CLAIM_TIMEOUT, self.now + CLAIM_TIMEOUT);
         self.lives[life].current = Some(self.submissions.len());
         self.submissions.push(Submission {
             request,
@@ -140,7 +141,7 @@
         });
     }
 
-    /// The current submission's step, if it has one, else that of a closing.
+    /// Performs the next step of the current submission, or else of a pending closing.
     fn step(&mut self, life: usize, write: Write, stale: usize) {
         let current = self.lives[life].current;
         if let Some(index) = current
@@ -249,7 +250,7 @@
         if let Some(index) = self.lives[life].current
             && let Phase::Claiming(..) = self.submissions[index].phase
         {
-            self.now = self.now + PATIENCE;
+            self.now = self.now + CLAIM_TIMEOUT;
             self.step(life, Write::Refuse, 0);
         }
     }
@@ -306,7 +307,7 @@
                 self.lives[holder].close(claim.request, None);
                 let request = self.submissions[index].request;
                 let (claiming, first) =
-                    Claiming::new(request, self.now + PATIENCE, self.now + PATIENCE);
+                    Claiming::new(request, self.now + CLAIM_TIMEOUT, self.now + CLAIM_TIMEOUT);
                 self.submissions[index].phase = Phase::Claiming(claiming, first);
             }
             Some(holder) if holder != life && self.lives[holder].current.is_some() => {
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Ends a submission that was not sent here; the next one looks again.
+    /// Ends a submission that was not sent here; the next one starts over.
     fn end(&mut self, life: usize, index: usize, told: &'static str) {
         self.lives[life].current = None;
         self.submissions[index].phase = Phase::Ended(told);
