--- a/crates/core/src/lease/duty.rs
+++ b/crates/core/src/lease/duty.rs
@@ -1,81 +1,87 @@
-//! Which entry cares for some work: the one preferred for it, and others if it does not.
+//! Decides which entry does the work under a lease: the preferred one, or others if it does
+//! not.
 
 use crate::clock::Millis;
 use crate::lease::{Term, Want};
 
-/// How much rarer an entry looks, and how much longer it waits, with each entry
-/// that is preferred to it.
-const RARER: u64 = 4;
-/// The rank from which on entries no longer look more rarely.
-const LAST_RANK: usize = 3;
-/// A holder that is not the preferred one steps back after this many looks:
-/// should the preferred one be back, the work is its own again.
-const TURN: u64 = 10;
+/// Factor by which the poll interval and the wait grow with each entry that is preferred to
+/// this one.
+const BACKOFF: u64 = 4;
+/// Rank from which on the poll interval no longer grows.
+const MAX_BACKOFF_RANK: usize = 3;
+/// Number of polls after which a holder that is not the preferred entry starts no more work and
+/// releases the lease once nothing runs, so that the preferred entry can take its work back if
+/// it has returned.
+const TURN_POLLS: u64 = 10;
 
-/// One entry's part in work that is done under a lease.
+/// Decides when one entry should hold the lease for some work.
 #[derive(Clone, Debug)]
 pub struct Duty {
     poll: Millis,
     term: Term,
     rank: usize,
-    /// Since when there has been work at every look.
-    work: Option<Millis>,
-    /// Since when the lease has been held out of turn.
-    turn: Option<Millis>,
+    /// Since when every poll has found work.
+    work_since: Option<Millis>,
+    /// Since when the lease has been held without being the preferred entry.
+    turn_since: Option<Millis>,
 }
 
 impl Duty {
-    /// The part of an entry that looks this often where it is preferred.
+    /// Creates the duty of an entry; `poll` is the poll interval of the preferred entry.
     pub fn new(poll: Millis, term: Term) -> Self {
         Self {
             poll,
             term,
             rank: 0,
-            work: None,
-            turn: None,
+            work_since: None,
+            turn_since: None,
         }
     }
 
-    /// How many entries are preferred to this one now.
-    pub fn rank(&mut self, rank: usize) {
+    /// Sets the number of entries that are preferred to this one.
+    pub fn set_rank(&mut self, rank: usize) {
         self.rank = rank;
     }
 
-    /// The time between two looks for work.
-    pub fn look_every(&self) -> Millis {
-        Millis(self.poll.0 * self.rarer())
+    /// Returns the time between two polls for work.
+    pub fn poll_interval(&self) -> Millis {
+        Millis(self.poll.0 * self.backoff())
     }
 
-    fn rarer(&self) -> u64 {
-        (0..self.rank.min(LAST_RANK)).fold(1, |rarer, _| rarer * RARER)
+    fn backoff(&self) -> u64 {
+        (0..self.rank.min(MAX_BACKOFF_RANK)).fold(1, |backoff, _| backoff * BACKOFF)
     }
 
-    /// There was work, or not, at a look.
-    pub fn looked(&mut self, now: Millis, work: bool) {
-        self.work = work.then_some(self.work.unwrap_or(now));
+    /// Records whether a poll found work.
+    pub fn record_poll(&mut self, now: Millis, work: bool) {
+        self.work_since = work.then_some(self.work_since.unwrap_or(now));
     }
 
-    /// What is wanted of the lease. `held` says whether it is held, and `running`
-    /// whether something runs under it.
+    /// Returns what to do with the lease. `held` says whether it is held, and `running` whether
+    /// any work is running under it.
     pub fn want(&mut self, now: Millis, held: bool, running: bool) -> Want {
-        let wanted = Want::Hold { look: self.watch() };
+        let wanted = Want::Hold {
+            poll_interval: self.watch_interval(),
+        };
         if self.rank == 0 {
-            self.turn = None;
-            let needed = running || self.work.is_some();
+            self.turn_since = None;
+            let needed = running || self.work_since.is_some();
             return if needed { wanted } else { Want::Idle };
         }
         if held {
-            self.turn.get_or_insert(now);
+            self.turn_since.get_or_insert(now);
             if running || !self.turn_is_over(now) {
                 return wanted;
             }
-            // Its wait for the next turn begins anew.
-            self.turn = None;
-            self.work = None;
+            // The grace period starts over before the lease is taken again.
+            self.turn_since = None;
+            self.work_since = None;
             return Want::Release;
         }
-        self.turn = None;
-        let overdue = self.work.is_some_and(|since| now - since >= self.grace());
+        self.turn_since = None;
+        let overdue = self
+            .work_since
+            .is_some_and(|since| now - since >= self.grace_period());
         if running || overdue {
             wanted
         } else {
@@ -83,24 +89,25 @@
         }
     }
 
-    /// Whether something new may be started, if the lease is held.
-    pub fn starts(&self, now: Millis) -> bool {
+    /// Whether new work may be started while the lease is held.
+    pub fn may_start(&self, now: Millis) -> bool {
         self.rank == 0 || !self.turn_is_over(now)
     }
 
     fn turn_is_over(&self, now: Millis) -> bool {
-        let turn = Millis(self.poll.0 * TURN);
-        self.turn.is_some_and(|since| now - since >= turn)
+        let turn = Millis(self.poll.0 * TURN_POLLS);
+        self.turn_since.is_some_and(|since| now - since >= turn)
     }
 
-    /// How long there must have been work before an entry takes it out of turn.
-    fn grace(&self) -> Millis {
-        self.look_every()
+    /// How long work must have been pending before an entry that is not preferred takes the
+    /// lease.
+    fn grace_period(&self) -> Millis {
+        self.poll_interval()
     }
 
-    /// How often the lease is read while another holds it.
-    fn watch(&self) -> Millis {
-        Millis(self.term.duration().0 / RARER * self.rarer())
+    /// Interval at which the lease is read while another entry holds it.
+    fn watch_interval(&self) -> Millis {
+        Millis(self.term.duration().0 / BACKOFF * self.backoff())
     }
 }
 
--- a/crates/core/src/lease/expired.rs
+++ b/crates/core/src/lease/expired.rs
@@ -1,85 +1,94 @@
-//! A lease whose time is over, but which nobody is known to have taken.
+//! State of a lease that has expired, but that no other holder is known to have taken.
 
 use crate::clock::Millis;
 use crate::lease::tenure::Finding;
-use crate::lease::{Answer, Fence, Free, Held, Kept, Lease, Renewal, Seen, Tenure, Write};
+use crate::lease::{
+    Fence, Free, Held, Lease, OwnedReadOutcome, Renewal, Snapshot, Tenure, Write, WriteOutcome,
+};
 
-/// Ours once; nothing may be done under it.
+/// The lease has expired; nothing may be done under it.
 ///
-/// A renewal requires the record's version, so that it takes effect only if
-/// nobody held the lease in between: the fence is the same then.
+/// A renewal requires the record's version, so it takes effect only if nobody held the lease in
+/// between. The fencing token is then unchanged.
 #[derive(Clone, Debug)]
 pub struct Expired {
     pub(super) tenure: Tenure,
 }
 
-/// What became of the renewal of an expired lease.
+/// Outcome of renewing an expired lease.
 #[derive(Clone, Debug)]
-pub enum Revived {
-    /// It is ours again.
+pub enum RenewalOutcome {
+    /// It is held again.
     Held(Lease<Held>),
-    /// It is still over.
+    /// It is still expired.
     Expired(Lease<Expired>),
 }
 
 impl Lease<Expired> {
-    /// The number under which it was held.
+    /// The fencing token that it was held with.
     pub fn fence(&self) -> Fence {
         self.state.tenure.fence
     }
 
     /// Whether the rows must be read before the next write.
-    pub fn unclear(&self) -> bool {
-        self.state.tenure.unclear
+    pub fn must_read(&self) -> bool {
+        self.state.tenure.must_read
     }
 
-    /// A write under the fence was refused: the rows must be read.
+    /// Records that a write with this fencing token was rejected: the rows must be read.
     #[must_use]
     pub fn suspect(mut self) -> Self {
-        self.state.tenure.unclear = true;
+        self.state.tenure.must_read = true;
         self
     }
 
-    /// A renewal that is sent now.
+    /// Creates a renewal that is sent at `now`.
     pub fn renewal(&self, now: Millis) -> Renewal {
         self.state.tenure.renewal(now, &self.own, self.term)
     }
 
-    /// Takes in what became of a renewal, answered now.
-    pub fn renewed(mut self, now: Millis, renewal: &Renewal, answer: Answer) -> Revived {
-        match self.state.tenure.renewed(renewal, answer) {
+    /// Processes the outcome of a renewal, answered at `now`.
+    pub fn on_renewal(
+        mut self,
+        now: Millis,
+        renewal: &Renewal,
+        answer: WriteOutcome,
+    ) -> RenewalOutcome {
+        match self.state.tenure.on_renewal(renewal, answer) {
             Some(sent) => self.revived(now, sent),
-            None => Revived::Expired(self),
+            None => RenewalOutcome::Expired(self),
         }
     }
 
-    /// Takes in a read. Also one that shows a renewal in force leaves the lease
-    /// over: the next renewal brings it back.
-    pub fn seen(mut self, seen: &Seen) -> Kept<Expired> {
-        // Its time is over: nothing is lost by watching rows that were put back like another's.
+    /// Processes a read of the rows. The lease stays expired even if the read shows a renewal
+    /// in force; the next renewal makes it usable again.
+    pub fn on_read(mut self, seen: &Snapshot) -> OwnedReadOutcome<Expired> {
+        // The lease has expired, so nothing is lost by observing rows that were restored from
+        // an older copy as another holder's.
         if seen.version() < self.state.tenure.version {
-            return Kept::Lost(self.with(Free::default()));
+            return OwnedReadOutcome::Lost(self.with(Free::default()));
         }
-        match self.state.tenure.seen(&self.own, seen) {
-            Finding::Lost => Kept::Lost(self.with(Free::default())),
-            Finding::Ours(_) => Kept::Ours(self),
+        match self.state.tenure.on_read(&self.own, seen) {
+            Finding::Lost => OwnedReadOutcome::Lost(self.with(Free::default())),
+            Finding::Owned(_) => OwnedReadOutcome::Owned(self),
         }
     }
 
-    fn revived(self, now: Millis, sent: Millis) -> Revived {
+    fn revived(self, now: Millis, sent: Millis) -> RenewalOutcome {
         let held = Held::new(self.state.tenure.clone(), sent, self.term);
         match self.with(held).expire(now) {
-            Ok(held) => Revived::Held(held),
-            Err(expired) => Revived::Expired(expired),
+            Ok(held) => RenewalOutcome::Held(held),
+            Err(expired) => RenewalOutcome::Expired(expired),
         }
     }
 
-    /// The write that gives the lease back, so that others need not wait.
+    /// Creates the write that releases the lease, so that others need not wait.
     pub fn release(&self) -> Write {
         self.state.tenure.release(self.term)
     }
 
-    /// The lease was given back, as far as is known.
+    /// Converts the lease to the free state after a release, whether or not the write took
+    /// effect.
     pub fn released(self) -> Lease<Free> {
         self.with(Free::default())
     }
--- a/crates/core/src/lease/held.rs
+++ b/crates/core/src/lease/held.rs
@@ -1,10 +1,12 @@
-//! A lease that is ours, and whose time is not over.
+//! State of a lease that is held by this incarnation and has not expired.
 
 use crate::clock::Millis;
 use crate::lease::tenure::Finding;
-use crate::lease::{Answer, Expired, Fence, Free, Lease, Over, Renewal, Seen, Tenure, Term, Write};
+use crate::lease::{
+    Expired, Fence, Free, Lease, LeaseExpired, Renewal, Snapshot, Tenure, Term, Write, WriteOutcome,
+};
 
-/// Ours.
+/// The lease is held.
 #[derive(Clone, Debug)]
 pub struct Held {
     tenure: Tenure,
@@ -12,12 +14,12 @@
     renew_at: Millis,
 }
 
-/// What a read made of a lease that was ours.
+/// Result of reading the rows of a lease that was owned.
 #[derive(Clone, Debug)]
-pub enum Kept<S> {
-    /// It still is.
-    Ours(Lease<S>),
-    /// It is not.
+pub enum OwnedReadOutcome<S> {
+    /// It is still owned.
+    Owned(Lease<S>),
+    /// It is no longer owned.
     Lost(Lease<Free>),
 }
 
@@ -32,26 +34,26 @@
 }
 
 impl Lease<Held> {
-    /// Whether the lease may be acted under now. Asked before every action, by
-    /// a clock that was read after everything that went before.
+    /// Returns the fencing token if the lease has not expired. Call it before every action,
+    /// with a clock reading taken after everything that precedes the action.
     ///
     /// # Errors
     ///
-    /// [`Over`] once its time is over.
-    pub fn check(&self, now: Millis) -> Result<Fence, Over> {
+    /// [`LeaseExpired`] once the lease has expired.
+    pub fn check(&self, now: Millis) -> Result<Fence, LeaseExpired> {
         if now < self.state.until {
             Ok(self.state.tenure.fence)
         } else {
-            Err(Over)
+            Err(LeaseExpired)
         }
     }
 
-    /// The number under which to act.
+    /// The fencing token of this lease.
     pub fn fence(&self) -> Fence {
         self.state.tenure.fence
     }
 
-    /// When its time is over.
+    /// When the lease expires.
     pub fn until(&self) -> Millis {
         self.state.until
     }
@@ -62,40 +64,40 @@
     }
 
     /// Whether the rows must be read before the next write.
-    pub fn unclear(&self) -> bool {
-        self.state.tenure.unclear
+    pub fn must_read(&self) -> bool {
+        self.state.tenure.must_read
     }
 
-    /// A write under the fence was refused: the rows must be read.
+    /// Records that a write with this fencing token was rejected: the rows must be read.
     #[must_use]
     pub fn suspect(mut self) -> Self {
-        self.state.tenure.unclear = true;
+        self.state.tenure.must_read = true;
         self
     }
 
-    /// A renewal that is sent now.
+    /// Creates a renewal that is sent at `now`.
     pub fn renewal(&self, now: Millis) -> Renewal {
         self.state.tenure.renewal(now, &self.own, self.term)
     }
 
-    /// Takes in what became of a renewal.
+    /// Processes the outcome of a renewal.
     #[must_use]
-    pub fn renewed(mut self, renewal: &Renewal, answer: Answer) -> Self {
-        if let Some(sent) = self.state.tenure.renewed(renewal, answer) {
+    pub fn on_renewal(mut self, renewal: &Renewal, answer: WriteOutcome) -> Self {
+        if let Some(sent) = self.state.tenure.on_renewal(renewal, answer) {
             self.extend(sent);
         }
         self
     }
 
-    /// Takes in a read.
-    pub fn seen(mut self, seen: &Seen) -> Kept<Held> {
-        match self.state.tenure.seen(&self.own, seen) {
-            Finding::Lost => Kept::Lost(self.with(Free::default())),
-            Finding::Ours(sent) => {
+    /// Processes a read of the rows.
+    pub fn on_read(mut self, seen: &Snapshot) -> OwnedReadOutcome<Held> {
+        match self.state.tenure.on_read(&self.own, seen) {
+            Finding::Lost => OwnedReadOutcome::Lost(self.with(Free::default())),
+            Finding::Owned(sent) => {
                 if let Some(sent) = sent {
                     self.extend(sent);
                 }
-                Kept::Ours(self)
+                OwnedReadOutcome::Owned(self)
             }
         }
     }
@@ -106,21 +108,22 @@
         self.state.renew_at = self.state.renew_at.max(later.renew_at);
     }
 
-    /// The write that gives the lease back.
+    /// Creates the write that releases the lease.
     pub fn release(&self) -> Write {
         self.state.tenure.release(self.term)
     }
 
-    /// The lease was given back, as far as is known.
+    /// Converts the lease to the free state after a release, whether or not the write took
+    /// effect.
     pub fn released(self) -> Lease<Free> {
         self.with(Free::default())
     }
 
-    /// The lease as it is now.
+    /// Returns the lease if it has not expired at `now`.
     ///
     /// # Errors
     ///
-    /// The expired lease, once its time is over.
+    /// The lease in its expired state otherwise.
     pub fn expire(self, now: Millis) -> Result<Self, Lease<Expired>> {
         if now < self.state.until {
             return Ok(self);
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -10,11 +10,13 @@
 use tokio::net::UdpSocket;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::polling;
 use woodgap_core::relay::fleet::Member;
 use woodgap_core::relay::load_report::LoadReport;
+use woodgap_core::relay::polling;
 
-use crate::gossip::message::{self, Knowledge, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message, USUALLY_TOLD};
+use crate::gossip::message::{
+    self, Knowledge, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message, USUALLY_TOLD,
+};
 use crate::gossip::{FIRST_ROUND, ROUND, fetch};
 use crate::state::State;
 
--- a/crates/relay/src/gossip/message.rs
+++ b/crates/relay/src/gossip/message.rs
@@ -6,9 +6,9 @@
 use woodgap_core::quarantine;
 use woodgap_core::relay::claim::Claim;
 use woodgap_core::relay::fleet::Member;
+use woodgap_core::relay::load_report::LoadReport;
 use woodgap_core::relay::rest;
 use woodgap_core::relay::roster::{Change, Endpoint};
-use woodgap_core::relay::load_report::LoadReport;
 use woodgap_core::relay::usage;
 use woodgap_core::relay::{Evacuation, Plan};
 
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
-use woodgap_core::quarantine::{StoredHistory, CrashHistory};
+use woodgap_core::quarantine::{CrashHistory, StoredHistory};
 
 use crate::follow::usable;
 use crate::source::row::Faults;
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -13,7 +13,9 @@
 use woodgap_core::relay::roster::{Change, Endpoint};
 use woodgap_core::relay::usage::Window;
 use woodgap_core::relay::work::Work;
-use woodgap_relay::gossip::message::{self, Knowledge, Listed, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message};
+use woodgap_relay::gossip::message::{
+    self, Knowledge, Listed, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message,
+};
 
 use crate::peer::{IGNORANT, question};
 use crate::site;
