--- a/crates/relay/src/request/crash.rs
+++ b/crates/relay/src/request/crash.rs
@@ -43,7 +43,7 @@
 
 /// The endpoints that broke off of late.
 #[derive(Default)]
-pub struct Checks {
+pub struct CrashChecks {
     by_life: HashMap<name::Life, Check>,
 }
 
@@ -85,7 +85,7 @@
         return;
     }
     let now = state.now();
-    let mut checks = state.checks.borrow_mut();
+    let mut checks = state.crash_checks.borrow_mut();
     checks.by_life.retain(|_, check| check.is_recent(now));
     let check = checks.by_life.entry(life.clone()).or_default();
     if check.has_crashed(now) {
@@ -110,7 +110,7 @@
 /// Waits until it is known whether the endpoint is gone, if that is being found out.
 pub async fn checked(state: &State, life: &name::Life) {
     let checking = {
-        let checks = state.checks.borrow();
+        let checks = state.crash_checks.borrow();
         let check = checks.by_life.get(life);
         check.and_then(|check| check.checking.clone())
     };
@@ -120,9 +120,9 @@
 }
 
 /// Takes in that the endpoint is listed with a later start: what broke off last was its crash.
-pub fn outlived(state: &State, life: &name::Life) {
+pub fn record_restart(state: &State, life: &name::Life) {
     let is_awaited = {
-        let mut checks = state.checks.borrow_mut();
+        let mut checks = state.crash_checks.borrow_mut();
         checks
             .by_life
             .retain(|_, check| check.is_recent(state.now()));
@@ -137,7 +137,7 @@
 async fn find_out(state: Rc<State>, life: name::Life, address: SocketAddr) {
     let opened = open(address).await;
     let now = state.now();
-    if let Some(check) = state.checks.borrow_mut().by_life.get_mut(&life) {
+    if let Some(check) = state.crash_checks.borrow_mut().by_life.get_mut(&life) {
         check.checking = None;
     }
     match opened {
@@ -166,7 +166,7 @@
 
 fn note_crash(state: &State, life: &name::Life) {
     let suspects = {
-        let mut checks = state.checks.borrow_mut();
+        let mut checks = state.crash_checks.borrow_mut();
         let check = checks.by_life.entry(life.clone()).or_default();
         check.crash(state.now())
     };
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -27,7 +27,7 @@
 use crate::gossip;
 use crate::gossip::fetch::Fetches;
 use crate::metrics::Metrics;
-use crate::request::crash::Checks;
+use crate::request::crash::CrashChecks;
 use crate::source::Source;
 use crate::stop;
 use crate::upstream::Pool;
@@ -120,7 +120,7 @@
     /// Whether this entry has read what the platform keeps, or heard of it from one that has.
     pub has_read_withheld: Cell<bool>,
     /// Endpoints that broke off, of which it is being found out whether they have crashed.
-    pub checks: RefCell<Checks>,
+    pub crash_checks: RefCell<CrashChecks>,
     /// What the clocks of the other entries read.
     pub readings: RefCell<MedianClock>,
     /// Requests that endpoints began to run for this entry.
@@ -189,7 +189,7 @@
             unkept: RefCell::default(),
             to_keep: Notify::new(),
             has_read_withheld: Cell::new(false),
-            checks: RefCell::default(),
+            crash_checks: RefCell::default(),
             readings: RefCell::default(),
             meter: RefCell::default(),
             sums: RefCell::default(),
--- a/crates/relay/src/upkeep.rs
+++ b/crates/relay/src/upkeep.rs
@@ -57,7 +57,7 @@
         state.pool.borrow_mut().close(life);
         let is_outlived = state.roster.borrow().has_other_life(life);
         if is_outlived {
-            crash::outlived(state, life);
+            crash::record_restart(state, life);
         }
     }
     state.loads.borrow_mut().remove(&gone);
