--- a/crates/relay/src/request/admit.rs
+++ b/crates/relay/src/request/admit.rs
@@ -139,7 +139,7 @@
 fn table(state: &State) -> Result<Arc<Table>, Problem> {
     let force = state.force.borrow();
     let table = force.table().cloned();
-    table.ok_or_else(|| not_ready("the configuration is not loaded yet"))
+    table.ok_or_else(|| not_ready("no configuration is known yet"))
 }
 
 fn body_limit(state: &State) -> Result<usize, Problem> {
@@ -156,14 +156,11 @@
     let read_future = async {
         while let Some(chunk) = payload.next().await {
             let broken = |error: actix_http::error::PayloadError| {
-                Problem::not_run(
-                    Code::BadRequest,
-                    format!("failed to read the request body: {error}"),
-                )
+                Problem::not_run(Code::BadRequest, format!("the body can't be read: {error}"))
             };
             body.extend_from_slice(&chunk.map_err(broken)?);
             if body.len() > max_bytes {
-                let message = format!("the request body must be at most {max_bytes} bytes");
+                let message = format!("the body is above {max_bytes} bytes");
                 return Err(Problem::not_run(Code::BodyTooLarge, message));
             }
         }
@@ -178,10 +175,7 @@
 }
 
 fn body_timeout() -> Problem {
-    Problem::not_run(
-        Code::RequestTimeout,
-        "the request body was not received in time",
-    )
+    Problem::not_run(Code::RequestTimeout, "the body did not come in time")
 }
 
 /// The requested host, from an absolute target or else from the `Host` header.
@@ -197,10 +191,7 @@
         return Ok(Arc::clone(route));
     }
     check_plan_age(state)?;
-    let message = format!(
-        "no route in plan version {} matches {host}{path}",
-        table.version()
-    );
+    let message = format!("no route of version {} takes {host}{path}", table.version());
     Err(Problem::not_run(Code::UnknownRoute, message))
 }
 
@@ -219,10 +210,7 @@
         return Ok(workspace.cloned());
     }
     check_plan_age(state)?;
-    let message = format!(
-        "no workspace in plan version {} has this key",
-        table.version()
-    );
+    let message = format!("no workspace of version {} has this key", table.version());
     Err(Problem::not_run(Code::UnknownKey, message))
 }
 
--- a/crates/relay/src/request/attempt.rs
+++ b/crates/relay/src/request/attempt.rs
@@ -224,14 +224,14 @@
     }
     if reply.id.is_none() {
         return Err(AttemptError::Broken(
-            "the response is missing its request ID".to_owned(),
+            "the answer names no request".to_owned(),
         ));
     }
     if !reply.is_sealed {
-        return Err(AttemptError::Broken("the response has no seal".to_owned()));
+        return Err(AttemptError::Broken("the answer has no seal".to_owned()));
     }
     if response.headers.contains_key("content-encoding") {
-        let message = "unsolicited content-encoding in the response";
+        let message = "the answer is encoded, which was not asked for";
         return Err(AttemptError::Broken(message.to_owned()));
     }
     Ok(())
