--- a/crates/relay/src/dialect/names.rs
+++ b/crates/relay/src/dialect/names.rs
@@ -109,10 +109,10 @@
     /// ```
     pub fn reply<'h>(&self, head: &'h Head, declined: Option<Decline>) -> Reply<'h> {
         Reply {
-            id: head.text(self.request),
+            id: head.header_str(self.request),
             is_sealed: head.headers.contains_key(self.seal),
             declined,
-            load: head.text(self.load).and_then(report),
+            load: head.header_str(self.load).and_then(report),
         }
     }
 }
--- a/crates/relay/src/dialect/own.rs
+++ b/crates/relay/src/dialect/own.rs
@@ -65,7 +65,7 @@
     }
 
     fn reply<'h>(&self, head: &'h Head) -> Reply<'h> {
-        let declined = match (head.status.as_u16(), head.text(VERDICT)) {
+        let declined = match (head.status.as_u16(), head.header_str(VERDICT)) {
             (421, _) => Some(Decline::Misdirected),
             (429 | 503, Some("not_run")) => Some(Decline::Full),
             _ => None,
--- a/crates/relay/src/duties/caller.rs
+++ b/crates/relay/src/duties/caller.rs
@@ -35,7 +35,7 @@
     ///
     /// If the URL has another form.
     pub fn new(url: &str, names: Names) -> Result<Self, Address> {
-        let client = Mutex::new(Client::at(url)?);
+        let client = Mutex::new(Client::from_url(url)?);
         Ok(Self { client, names })
     }
 
@@ -87,7 +87,7 @@
             (self.names.number, number.as_str()),
         ];
         let mut client = self.client.lock().await;
-        let called = client.call_with(&Method::POST, path, &headers, Some(&body), TIMEOUT);
+        let called = client.call_with_headers(&Method::POST, path, &headers, Some(&body), TIMEOUT);
         let answer = called.await.map_err(|error| failed(&error))?;
         Ok(answer.status)
     }
--- a/crates/relay/src/front/server.rs
+++ b/crates/relay/src/front/server.rs
@@ -37,14 +37,14 @@
     /// Callers' requests.
     Requests,
     /// Questions to the entry itself.
-    Questions,
+    Directory,
     /// Metrics.
     Metrics,
 }
 
 /// When a caller opened its connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Connected(pub Millis);
+pub struct ConnectedAt(pub Millis);
 
 type Handler = Rc<dyn Fn(Stream) -> LocalBoxFuture<'static, ()>>;
 
@@ -136,7 +136,7 @@
     });
     let factory = HttpService::build()
         .on_connect_ext(|stream: &Stream, data| {
-            data.insert(Connected(stream.connected()));
+            data.insert(ConnectedAt(stream.connected_at()));
         })
         .keep_alive(Duration::from_millis(limits.idle_timeout.0))
         .client_request_timeout(Duration::from_millis(limits.header_timeout.0))
@@ -167,7 +167,7 @@
     let is_stopping = state.stopping_since().is_some();
     let mut response = match purpose {
         Purpose::Requests => run::serve(Rc::clone(&state), request).await,
-        Purpose::Questions => directory::answer(&state, &request),
+        Purpose::Directory => directory::answer(&state, &request),
         Purpose::Metrics => directory::metrics(&state, &request),
     };
     if is_stopping || state.stopping_since().is_some() {
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -38,7 +38,7 @@
     }
 
     /// When it was opened.
-    pub fn connected(&self) -> Millis {
+    pub fn connected_at(&self) -> Millis {
         self.connected
     }
 
--- a/crates/relay/src/request/answer.rs
+++ b/crates/relay/src/request/answer.rs
@@ -84,7 +84,7 @@
         place.note(sign(head.status));
         let Some(framing) = framing else {
             let framing = head.framing(method);
-            if framing.is_ok_and(|framing| !framing.ends_with_connection()) {
+            if framing.is_ok_and(|framing| !framing.is_close_delimited()) {
                 place.survived(head.status);
             }
             place.keep(connection, pause);
@@ -115,14 +115,16 @@
         method: &Method,
     ) -> Result<(Option<Framing>, Bytes), Error> {
         let mut framing = head.framing(method)?;
-        let is_short = framing.announced().is_some_and(|length| length <= HELD);
-        let ends_with_connection = framing.ends_with_connection() && !has_events(head);
+        let is_short = framing
+            .content_length()
+            .is_some_and(|length| length <= HELD);
+        let ends_with_connection = framing.is_close_delimited() && !has_events(head);
         if is_short || ends_with_connection {
             let most = usize::try_from(HELD).unwrap_or(usize::MAX);
-            let body = connection.whole(framing, most).await?;
+            let body = connection.read_body(framing, most).await?;
             return Ok((None, body));
         }
-        match connection.piece(&mut framing).await? {
+        match connection.next_data(&mut framing).await? {
             Some(first) => Ok((Some(framing), first)),
             None => Ok((None, Bytes::new())),
         }
@@ -183,7 +185,7 @@
 
 /// Whether the body is a stream of events.
 pub fn has_events(head: &Head) -> bool {
-    let kind = head.text("content-type");
+    let kind = head.header_str("content-type");
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
@@ -197,13 +199,13 @@
 
     /// The next bytes; none once the body is whole.
     async fn next(&mut self) -> Result<Option<Bytes>, Error> {
-        let piece = self.connection.piece(&mut self.framing).await?;
+        let piece = self.connection.next_data(&mut self.framing).await?;
         if let Some(bytes) = &piece {
             self.saw(bytes);
             return Ok(piece);
         }
         // A connection that ends in the middle of an event has been broken off.
-        let ends_well = !self.framing.ends_with_connection() || self.tail == *b"\n\n";
+        let ends_well = !self.framing.is_close_delimited() || self.tail == *b"\n\n";
         if self.has_events && !ends_well {
             return Err(Error::Cut(std::io::ErrorKind::UnexpectedEof.into()));
         }
@@ -240,7 +242,7 @@
             }
             Ok(None) => {
                 self.account.complete(self.status.as_u16());
-                if !self.rest.framing.ends_with_connection() {
+                if !self.rest.framing.is_close_delimited() {
                     self.rest.place.survived(self.status);
                 }
                 self.rest.place.keep(self.rest.connection, self.rest.pause);
--- a/crates/relay/src/request/attempt.rs
+++ b/crates/relay/src/request/attempt.rs
@@ -117,7 +117,7 @@
 ) -> Result<(Connection, Head, Millis), Failure> {
     let (mut connection, rested) = connect(state, choice, account).await?;
     let head = forward::head(state, request, choice);
-    account.send(connection.served() > 0);
+    account.send(connection.requests_sent() > 0);
     let sent = state.now();
     let exchanged = connection.exchange(&head, &request.body).await;
     if matches!(exchanged, Err(Error::Cut(_))) {
@@ -138,7 +138,7 @@
             "an answer to another request was skipped"
         );
         let framing = answer.framing(&request.method)?;
-        connection.whole(framing, MOST_SURPLUS_BYTES).await?;
+        connection.read_body(framing, MOST_SURPLUS_BYTES).await?;
         answer = connection.next_head().await?;
     }
     place.answered();
@@ -152,7 +152,7 @@
     }
     // A connection on which something came unasked is not used again.
     let rest = if surplus == 0 {
-        pool::rest(&answer)
+        pool::keep_alive_duration(&answer)
     } else {
         Millis::ZERO
     };
--- a/crates/relay/src/request/forward.rs
+++ b/crates/relay/src/request/forward.rs
@@ -66,5 +66,5 @@
     let headers = headers
         .iter()
         .map(|(name, value)| (*name, value.as_slice()));
-    connection::head(&request.method, &request.target, headers)
+    connection::request_head(&request.method, &request.target, headers)
 }
--- a/crates/relay/src/request/place.rs
+++ b/crates/relay/src/request/place.rs
@@ -46,7 +46,7 @@
         let ask = request.ask();
         let now = state.now();
         let ticket = state.loads.borrow_mut().begin(choice, &ask, now);
-        state.pool.borrow_mut().occupy(ticket.endpoint());
+        state.pool.borrow_mut().acquire(ticket.endpoint());
         if state.roster.borrow().is_cold(ticket.endpoint(), now) {
             state.warmed.borrow_mut().record(ticket.endpoint(), now);
         }
@@ -156,7 +156,11 @@
         let Ok(framing) = answer.framing(&request.method) else {
             return;
         };
-        if connection.whole(framing, MOST_SURPLUS_BYTES).await.is_ok() {
+        if connection
+            .read_body(framing, MOST_SURPLUS_BYTES)
+            .await
+            .is_ok()
+        {
             self.keep(connection, rest);
         }
     }
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -18,7 +18,7 @@
 use woodgap_core::verdict::Verdict;
 
 use crate::dialect::Decline;
-use crate::front::server::Connected;
+use crate::front::server::ConnectedAt;
 use crate::request::admit::{self, Admitted};
 use crate::request::attempt::{Failure, attempt};
 use crate::request::crash;
@@ -58,7 +58,7 @@
 
 /// Serves one request.
 pub async fn serve(state: Rc<State>, request: Request) -> Response<BoxBody> {
-    let connected = request.conn_data::<Connected>();
+    let connected = request.conn_data::<ConnectedAt>();
     let connected = connected.map_or_else(|| state.now(), |it| it.0);
     let mut account = Account::open(&state, connected);
     // Whoever still waits when the process is about to end gets an answer, too.
--- a/crates/relay/src/start.rs
+++ b/crates/relay/src/start.rs
@@ -142,8 +142,8 @@
 fn serve_http(state: &Rc<State>, sockets: &Sockets) -> Result<(), Error> {
     let servers = [
         (Some(&sockets.requests), Purpose::Requests),
-        (Some(&sockets.directory), Purpose::Questions),
-        (Some(&sockets.ready), Purpose::Questions),
+        (Some(&sockets.directory), Purpose::Directory),
+        (Some(&sockets.ready), Purpose::Directory),
         (sockets.metrics.as_ref(), Purpose::Metrics),
     ];
     for (listener, purpose) in servers {
--- a/crates/relay/src/upstream/body.rs
+++ b/crates/relay/src/upstream/body.rs
@@ -51,7 +51,7 @@
     }
 
     /// The announced length, in bytes.
-    pub fn announced(&self) -> Option<u64> {
+    pub fn content_length(&self) -> Option<u64> {
         match self {
             Self::Length(length) => Some(*length),
             Self::Chunked(_) | Self::UntilClose => None,
@@ -59,7 +59,7 @@
     }
 
     /// Whether the end of the connection is the end of the body.
-    pub fn ends_with_connection(&self) -> bool {
+    pub fn is_close_delimited(&self) -> bool {
         matches!(self, Self::UntilClose)
     }
 
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -29,7 +29,7 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: StatusCode,
     /// The body.
@@ -42,14 +42,14 @@
     /// ```
     /// use woodgap_relay::upstream::call::Client;
     ///
-    /// assert!(Client::at("http://127.0.0.1:8080").is_ok());
-    /// assert!(Client::at("http://platform").is_err());
+    /// assert!(Client::from_url("http://127.0.0.1:8080").is_ok());
+    /// assert!(Client::from_url("http://platform").is_err());
     /// ```
     ///
     /// # Errors
     ///
     /// If the URL has another form.
-    pub fn at(url: &str) -> Result<Self, Address> {
+    pub fn from_url(url: &str) -> Result<Self, Address> {
         let address = url.strip_prefix("http://").and_then(|it| it.parse().ok());
         let address = address.ok_or_else(|| Address(url.to_owned()))?;
         Ok(Self::new(address))
@@ -74,8 +74,9 @@
         target: &str,
         body: Option<&[u8]>,
         timeout: Millis,
-    ) -> Result<Answer, Error> {
-        self.call_with(method, target, &[], body, timeout).await
+    ) -> Result<Response, Error> {
+        self.call_with_headers(method, target, &[], body, timeout)
+            .await
     }
 
     /// Makes a call with these headers beside the usual ones.
@@ -83,15 +84,15 @@
     /// # Errors
     ///
     /// Any [`Error`]; the connection is not used again then.
-    pub async fn call_with(
+    pub async fn call_with_headers(
         &mut self,
         method: &Method,
         target: &str,
         more: &[(&'static str, &str)],
         body: Option<&[u8]>,
         timeout: Millis,
-    ) -> Result<Answer, Error> {
-        let mut connection = match self.connection.take().filter(Connection::is_sound) {
+    ) -> Result<Response, Error> {
+        let mut connection = match self.connection.take().filter(Connection::is_reusable) {
             Some(connection) => connection,
             None => Connection::open(self.address).await?,
         };
@@ -103,16 +104,16 @@
             headers.push(("Content-Length", length.as_bytes()));
         }
         headers.extend(more.iter().map(|(name, value)| (*name, value.as_bytes())));
-        let head = connection::head(method, target, headers);
+        let head = connection::request_head(method, target, headers);
         let exchange = exchange(&mut connection, method, &head, body.unwrap_or_default());
         let limit = Duration::from_millis(timeout.0);
         let exchanged = tokio::time::timeout(limit, exchange).await;
         let (head, body) = exchanged.map_err(|_| Error::TimedOut)??;
-        if connection.is_sound() {
-            connection.rest();
+        if connection.is_reusable() {
+            connection.release_buffer();
             self.connection = Some(connection);
         }
-        Ok(Answer {
+        Ok(Response {
             status: head.status,
             body,
         })
@@ -127,6 +128,6 @@
 ) -> Result<(Head, Bytes), Error> {
     let answer = connection.exchange(head, body).await?;
     let framing = answer.framing(method)?;
-    let body = connection.whole(framing, MOST_ANSWER).await?;
+    let body = connection.read_body(framing, MOST_ANSWER).await?;
     Ok((answer, body))
 }
--- a/crates/relay/src/upstream/connection.rs
+++ b/crates/relay/src/upstream/connection.rs
@@ -59,7 +59,7 @@
 
     /// Whether another request can be sent: all is done, nothing came unasked,
     /// and the other side has not closed.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         if !self.is_clean || !self.buffer.is_empty() {
             return false;
         }
@@ -68,7 +68,7 @@
     }
 
     /// How many requests were sent on it.
-    pub fn served(&self) -> u32 {
+    pub fn requests_sent(&self) -> u32 {
         self.served
     }
 
@@ -123,7 +123,7 @@
     /// # Errors
     ///
     /// [`Error::Cut`] or [`Error::Malformed`].
-    pub async fn piece(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, Error> {
+    pub async fn next_data(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, Error> {
         loop {
             match framing.take(&mut self.buffer)? {
                 Piece::Bytes(bytes) => return Ok(Some(bytes)),
@@ -136,7 +136,7 @@
                 continue;
             }
             self.is_clean = false;
-            if framing.ends_with_connection() {
+            if framing.is_close_delimited() {
                 return Ok(None);
             }
             return Err(Error::Cut(io::ErrorKind::UnexpectedEof.into()));
@@ -147,10 +147,10 @@
     ///
     /// # Errors
     ///
-    /// As [`Self::piece`], and [`Error::Malformed`] above the bound.
-    pub async fn whole(&mut self, mut framing: Framing, most: usize) -> Result<Bytes, Error> {
+    /// As [`Self::next_data`], and [`Error::Malformed`] above the bound.
+    pub async fn read_body(&mut self, mut framing: Framing, most: usize) -> Result<Bytes, Error> {
         let mut whole = BytesMut::new();
-        while let Some(piece) = self.piece(&mut framing).await? {
+        while let Some(piece) = self.next_data(&mut framing).await? {
             whole.extend_from_slice(&piece);
             if whole.len() > most {
                 return Err(Error::TooLarge);
@@ -160,7 +160,7 @@
     }
 
     /// Gives back the read buffer's memory while the connection rests.
-    pub fn rest(&mut self) {
+    pub fn release_buffer(&mut self) {
         self.buffer = BytesMut::new();
     }
 }
@@ -217,10 +217,10 @@
 /// use woodgap_relay::upstream::connection;
 ///
 /// let headers = [("Host", "10.0.0.1:80".as_bytes())];
-/// let head = connection::head(&Method::GET, "/load", headers);
+/// let head = connection::request_head(&Method::GET, "/load", headers);
 /// assert_eq!(&head[..], b"GET /load HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\r\n");
 /// ```
-pub fn head<'h>(
+pub fn request_head<'h>(
     method: &Method,
     target: &str,
     headers: impl IntoIterator<Item = (&'h str, &'h [u8])>,
--- a/crates/relay/src/upstream/head.rs
+++ b/crates/relay/src/upstream/head.rs
@@ -24,7 +24,7 @@
 
 impl Head {
     /// A header as text; none where it is missing or not text.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn header_str(&self, name: &str) -> Option<&str> {
         let value = self.headers.get(name)?;
         value.to_str().ok()
     }
@@ -105,7 +105,7 @@
             return Err(Error::Malformed("two lengths"));
         }
         let length = self
-            .text("content-length")
+            .header_str("content-length")
             .and_then(|text| text.parse().ok());
         length
             .map(Framing::Length)
--- a/crates/relay/src/upstream/pool.rs
+++ b/crates/relay/src/upstream/pool.rs
@@ -48,7 +48,7 @@
         while let Some(resting) = line.resting.pop() {
             let rested = now - resting.since;
             let is_short = most.is_none_or(|most| rested <= most);
-            if is_short && now < resting.until && resting.connection.is_sound() {
+            if is_short && now < resting.until && resting.connection.is_reusable() {
                 return Some((resting.connection, rested));
             }
         }
@@ -56,7 +56,7 @@
     }
 
     /// Counts a connection that is taken or opened for a request.
-    pub fn occupy(&mut self, endpoint: &name::Life) {
+    pub fn acquire(&mut self, endpoint: &name::Life) {
         self.lines.entry(endpoint.clone()).or_default().busy += 1;
     }
 
@@ -80,12 +80,12 @@
         rest: Millis,
         now: Millis,
     ) {
-        if rest == Millis::ZERO || !connection.is_sound() {
+        if rest == Millis::ZERO || !connection.is_reusable() {
             return;
         }
         let line = self.lines.entry(endpoint.clone()).or_default();
         if line.resting.len() < MOST_RESTING {
-            connection.rest();
+            connection.release_buffer();
             line.resting.push(Resting {
                 connection,
                 since: now,
@@ -106,7 +106,7 @@
     pub fn sweep(&mut self, now: Millis) {
         for line in self.lines.values_mut() {
             line.resting
-                .retain(|resting| now < resting.until && resting.connection.is_sound());
+                .retain(|resting| now < resting.until && resting.connection.is_reusable());
         }
         self.lines
             .retain(|_, line| line.busy > 0 || !line.resting.is_empty());
@@ -114,11 +114,11 @@
 }
 
 /// How long a connection may rest after this answer.
-pub fn rest(head: &Head) -> Millis {
+pub fn keep_alive_duration(head: &Head) -> Millis {
     if !head.keeps_alive {
         return Millis::ZERO;
     }
-    let Some(text) = head.text("keep-alive") else {
+    let Some(text) = head.header_str("keep-alive") else {
         return DEFAULT_REST;
     };
     let parameters = text.split(',').map(str::trim);
--- a/crates/relay/tests/soak/caller.rs
+++ b/crates/relay/tests/soak/caller.rs
@@ -202,7 +202,7 @@
     async fn connect(&mut self) -> Option<(Connection, usize)> {
         let wants_new = self.random.random_bool(NEW_CONNECTIONS);
         if let Some((connection, life)) = self.kept.take()
-            && connection.is_sound()
+            && connection.is_reusable()
             && !wants_new
         {
             return Some((connection, life));
@@ -335,7 +335,7 @@
         return (End::Nothing, None);
     };
     let status = answer.status.as_u16();
-    if answer.text("x-woodgap-request") != Some(id) {
+    if answer.header_str("x-woodgap-request") != Some(id) {
         record.broken(Problem::Foreign(id.to_owned(), "identity".to_owned()));
     }
     let (got, is_whole) = read(&mut connection, &answer).await;
@@ -353,8 +353,8 @@
     if status != 200 && !order.is_fatal && is_withheld(&got) {
         record.broken(Problem::Withheld(id.to_owned()));
     }
-    connection.rest();
-    let kept = connection.is_sound().then_some(connection);
+    connection.release_buffer();
+    let kept = connection.is_reusable().then_some(connection);
     (End::Answered(status), kept)
 }
 
@@ -362,7 +362,7 @@
 fn is_plain_refusal(answer: &Head, got: &[u8]) -> bool {
     let body: Option<serde_json::Value> = serde_json::from_slice(got).ok();
     let says_so = body.is_some_and(|body| body["verdict"] == "not_run");
-    says_so && answer.text("retry-after").is_some()
+    says_so && answer.header_str("retry-after").is_some()
 }
 
 fn is_withheld(got: &[u8]) -> bool {
@@ -397,7 +397,7 @@
     if order.is_fatal {
         headers.push((endpoint::FATAL, b"1"));
     }
-    connection::head(&Method::POST, order.kind.path(), headers)
+    connection::request_head(&Method::POST, order.kind.path(), headers)
 }
 
 /// The body as far as it came, and whether that is all of it.
@@ -407,7 +407,7 @@
     };
     let mut got = Vec::new();
     loop {
-        match connection.piece(&mut framing).await {
+        match connection.next_data(&mut framing).await {
             Ok(Some(bytes)) if got.len() < MOST_BYTES => got.extend_from_slice(&bytes),
             Ok(None) => return (got, true),
             Ok(Some(_)) | Err(_) => return (got, false),
@@ -431,7 +431,7 @@
         let is_short = is_whole && got.len() < events.len();
         return (!is_right || is_short).then_some("events");
     }
-    let Some(seal) = answer.text("x-woodgap-seal") else {
+    let Some(seal) = answer.header_str("x-woodgap-seal") else {
         return Some("seal");
     };
     let whole = endpoint::body(id, seal);
