--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -1,4 +1,5 @@
-//! HTTP towards callers: their requests, and their questions to the entry itself.
+//! HTTP servers for callers: requests to be forwarded, and requests about the entry itself
+//! (directory, readiness and metrics).
 
 pub mod directory;
 pub mod server;
--- a/crates/relay/src/front/directory.rs
+++ b/crates/relay/src/front/directory.rs
@@ -1,4 +1,4 @@
-//! Questions to the entry itself: which entries to use, whether it takes requests.
+//! Requests about the entry itself: the list of entries to use, readiness and metrics.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,15 +13,15 @@
 use crate::dialect::Question;
 use crate::state::State;
 
-/// How long callers may keep a list of entries: short, since an entry that stops
-/// is used for up to three times as long.
-const LIFETIME: Millis = Millis(1_000);
-/// The most entries in one list.
-const MOST_ENTRIES: usize = 64;
+/// How long callers may cache a list of entries. It is short, since callers use an entry that
+/// stops for up to three times as long.
+const MAX_LIFETIME: Millis = Millis(1_000);
+/// The maximum number of entries in a list.
+const MAX_ENTRIES: usize = 64;
 /// The path at which metrics are served.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
-/// Answers a question; 404 for anything else.
+/// Responds to readiness and directory requests, and with 404 to any other.
 pub fn answer(state: &Rc<State>, request: &Request) -> Response<BoxBody> {
     let query = request.uri().query().unwrap_or_default();
     match state.dialect.question(request.path(), query) {
@@ -33,16 +33,16 @@
         }
         Some(Question::Entries(near)) => {
             let addresses = entries(state, near.as_ref());
-            let lifetime = LIFETIME.min(state.settings.bounds.entries_lifetime);
+            let lifetime = MAX_LIFETIME.min(state.settings.bounds.entries_lifetime);
             json(state.dialect.entries(&addresses, lifetime))
         }
         None => Response::with_body(StatusCode::NOT_FOUND, BoxBody::new("")),
     }
 }
 
-/// Answers with all metrics as text.
+/// Responds with all metrics as text, and with 404 to any other path.
 pub fn metrics(state: &Rc<State>, request: &Request) -> Response<BoxBody> {
-    if request.path() != METRICS {
+    if request.path() != METRICS_PATH {
         return Response::with_body(StatusCode::NOT_FOUND, BoxBody::new(""));
     }
     Response::with_body(StatusCode::OK, BoxBody::new(state.metrics.text()))
@@ -55,8 +55,8 @@
     response
 }
 
-/// The entries that a caller should use: those of its data centre, or all where
-/// these are too few.
+/// The entries that a caller should use: the live ones of its data centre, or all live ones if
+/// there are fewer than [`MIN_LOCAL_ENTRIES`].
 fn entries(state: &State, near: Option<&name::DataCentre>) -> Vec<SocketAddr> {
     let now = state.now();
     let own = state.member();
@@ -72,13 +72,13 @@
         .map(|member| member.front)
         .collect();
     if near.len() >= MIN_LOCAL_ENTRIES {
-        return near.into_iter().take(MOST_ENTRIES).collect();
+        return near.into_iter().take(MAX_ENTRIES).collect();
     }
     let all: Vec<_> = live.iter().map(|member| member.front).collect();
     if !all.is_empty() {
-        return all.into_iter().take(MOST_ENTRIES).collect();
+        return all.into_iter().take(MAX_ENTRIES).collect();
     }
-    // None is known to be live: whoever asks is better off with all that there were.
+    // No entry is known to be live: return every known entry, since some may still respond.
     let known = fleet.known().map(|member| member.front);
-    known.chain([own.front]).take(MOST_ENTRIES).collect()
+    known.chain([own.front]).take(MAX_ENTRIES).collect()
 }
--- a/crates/relay/src/front/server.rs
+++ b/crates/relay/src/front/server.rs
@@ -1,8 +1,8 @@
-//! HTTP servers on the thread that all of the relay runs on.
+//! HTTP servers that run on the relay's single thread.
 //!
-//! `actix-web` starts threads of its own for its workers, and state shared with
-//! them needs locks and more memory; one small process per instance wants one
-//! thread. So this goes one floor down in the same family, to `actix-http`.
+//! `actix-web` starts its own worker threads, and state shared with them needs locks and
+//! more memory. The relay is one small process per instance and runs on one thread, so it
+//! uses the lower-level `actix-http` directly.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -23,32 +23,32 @@
 use crate::request::run;
 use crate::state::State;
 
-/// How long the last bytes of an answer may take to reach a caller that closes.
-const DISCONNECT: Duration = Duration::from_secs(1);
-/// How much of an answer waits for a slow caller, in bytes.
-const WRITE_BUFFER: usize = 16 * 1024;
-/// Descriptors that are left for endpoints, other entries and the platform: the
-/// others are for callers.
-const CALLERS_PART: usize = 2;
+/// How long flushing the rest of a response may take when a caller's connection closes.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The size of the response buffer per connection for slow callers, in bytes.
+const WRITE_BUFFER_BYTES: usize = 16 * 1024;
+/// The divisor that gives callers their share of the file descriptors; the rest is left for
+/// endpoints, other entries and the platform.
+const CALLER_DESCRIPTOR_DIVISOR: usize = 2;
 
-/// What a server answers.
+/// Which requests a server handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// Callers' requests.
+    /// Callers' requests, which are forwarded to endpoints.
     Requests,
-    /// Questions to the entry itself.
+    /// The list of entries, and the entry's readiness.
     Directory,
-    /// Metrics.
+    /// The entry's metrics.
     Metrics,
 }
 
-/// When a caller opened its connection.
+/// When a caller's connection was accepted; kept as connection data for its requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectedAt(pub Millis);
 
 type Handler = Rc<dyn Fn(Stream) -> LocalBoxFuture<'static, ()>>;
 
-/// An HTTP server.
+/// An HTTP server on one listener.
 pub struct Server {
     state: Rc<State>,
     purpose: Purpose,
@@ -57,11 +57,11 @@
 }
 
 impl Server {
-    /// A server on a listener that does not block.
+    /// Creates a server on a non-blocking listener.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// If the listener can't be registered with the runtime.
     pub fn new(
         state: &Rc<State>,
         listener: std::net::TcpListener,
@@ -75,19 +75,19 @@
         })
     }
 
-    /// Takes connections for as long as the process runs.
+    /// Accepts connections for as long as the process runs.
     pub async fn run(self) {
-        let most = self.state.settings.descriptors / CALLERS_PART;
+        let max_connections = self.state.settings.descriptors / CALLER_DESCRIPTOR_DIVISOR;
         loop {
             match self.listener.accept().await {
-                Ok((stream, _)) if self.state.connections.get() < most => {
+                Ok((stream, _)) if self.state.connections.get() < max_connections => {
                     self.take(stream).await;
                 }
                 Ok(_) => {
-                    log::warn!(connections = most; "a connection was closed: too many are open");
+                    log::warn!(connections = max_connections; "connection closed: too many open connections");
                 }
                 Err(error) => {
-                    log::warn!(error = error.to_string(); "a connection can't be taken");
+                    log::warn!(error = error.to_string(); "failed to accept a connection");
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             }
@@ -107,15 +107,15 @@
         });
     }
 
-    /// The handler for the limits that are in force; connections that were taken
-    /// earlier keep theirs.
+    /// The handler for the limits that are in force. Connections that were accepted earlier
+    /// keep the limits of that time.
     async fn handler(&self) -> Handler {
         let limits = self.limits();
-        let made = self.handler.borrow().clone();
-        if let Some((_, handler)) = made.filter(|(made_for, _)| *made_for == limits) {
+        let cached = self.handler.borrow().clone();
+        if let Some((_, handler)) = cached.filter(|(cached_limits, _)| *cached_limits == limits) {
             return handler;
         }
-        let handler = make(&self.state, self.purpose, &limits).await;
+        let handler = make_handler(&self.state, self.purpose, &limits).await;
         *self.handler.borrow_mut() = Some((limits, Rc::clone(&handler)));
         handler
     }
@@ -128,10 +128,10 @@
     }
 }
 
-async fn make(state: &Rc<State>, purpose: Purpose, limits: &Limits) -> Handler {
-    let serving = Rc::clone(state);
+async fn make_handler(state: &Rc<State>, purpose: Purpose, limits: &Limits) -> Handler {
+    let handler_state = Rc::clone(state);
     let service = fn_service(move |request: Request| {
-        let state = Rc::clone(&serving);
+        let state = Rc::clone(&handler_state);
         async move { Ok::<_, Infallible>(respond(state, purpose, request).await) }
     });
     let factory = HttpService::build()
@@ -140,10 +140,10 @@
         })
         .keep_alive(Duration::from_millis(limits.idle_timeout.0))
         .client_request_timeout(Duration::from_millis(limits.header_timeout.0))
-        .client_disconnect_timeout(DISCONNECT)
-        // A caller that closes its sending half has given up, as HTTP clients do.
+        .client_disconnect_timeout(DISCONNECT_TIMEOUT)
+        // HTTP clients half-close a connection only when they abandon the request.
         .h1_allow_half_closed(false)
-        .h1_write_buffer_size(WRITE_BUFFER)
+        .h1_write_buffer_size(WRITE_BUFFER_BYTES)
         .h1(service);
     match factory.new_service(()).await {
         Ok(service) => {
@@ -151,15 +151,18 @@
             Rc::new(move |stream| {
                 let service = Rc::clone(&service);
                 Box::pin(async move {
-                    // Nothing here asks for the caller's address.
+                    // The peer address is not used.
                     if let Err(error) = service.call((stream, None)).await {
-                        log::debug!(error = error.to_string(); "a caller's connection ended");
+                        log::debug!(error = error.to_string(); "caller connection ended with an error");
                     }
                 })
             })
         }
-        // The factory of a function can't fail; a dropped connection tells if it did.
-        Err(()) => Rc::new(|_| Box::pin(async { log::error!("no HTTP service could be made") })),
+        // The factory made by `fn_service` can't fail. If it did, connections would be dropped
+        // and the error logged.
+        Err(()) => {
+            Rc::new(|_| Box::pin(async { log::error!("failed to create the HTTP service") }))
+        }
     }
 }
 
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, as the HTTP server reads and writes it.
+//! The transport of a caller's connection.
 
 use std::io;
 use std::pin::Pin;
@@ -11,45 +11,46 @@
 
 use crate::state::State;
 
-/// A caller's connection. It counts itself among those that don't take what is to be written,
-/// so that a process does not end while it holds bytes of answers.
+/// A caller's connection. It is counted in `State::unwritten` while a write is pending, so that
+/// the process does not exit while it still holds response bytes.
 pub struct Stream {
     inner: TcpStream,
     state: Rc<State>,
     connected: Millis,
-    is_unwritten: bool,
+    is_write_pending: bool,
 }
 
 impl Stream {
-    /// A connection that was just taken.
+    /// Wraps a connection that was just accepted.
     ///
     /// # Errors
     ///
-    /// If it has ended meanwhile.
+    /// If the connection has ended in the meantime.
     pub fn new(inner: TcpStream, state: &Rc<State>) -> io::Result<Self> {
-        // Events are small, and each is to go out at once. The server sets this for HTTP/2 only.
+        // Events are small and must be sent without delay. `actix-http` sets this option for
+        // HTTP/2 only.
         inner.set_nodelay(true)?;
         Ok(Self {
             inner,
             connected: state.now(),
             state: Rc::clone(state),
-            is_unwritten: false,
+            is_write_pending: false,
         })
     }
 
-    /// When it was opened.
+    /// When the connection was accepted.
     pub fn connected_at(&self) -> Millis {
         self.connected
     }
 
-    fn note(&mut self, is_unwritten: bool) {
+    fn set_write_pending(&mut self, is_write_pending: bool) {
         let unwritten = &self.state.unwritten;
-        match (self.is_unwritten, is_unwritten) {
+        match (self.is_write_pending, is_write_pending) {
             (false, true) => unwritten.set(unwritten.get() + 1),
             (true, false) => unwritten.set(unwritten.get() - 1),
             _ => {}
         }
-        self.is_unwritten = is_unwritten;
+        self.is_write_pending = is_write_pending;
     }
 }
 
@@ -70,7 +71,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.note(written.is_pending());
+        self.set_write_pending(written.is_pending());
         written
     }
 
@@ -85,6 +86,6 @@
 
 impl Drop for Stream {
     fn drop(&mut self) {
-        self.note(false);
+        self.set_write_pending(false);
     }
 }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,9 +1,10 @@
-//! HTTP/1.1 towards endpoints and the platform, with nothing hidden.
+//! HTTP/1.1 client for endpoints and the platform.
 //!
-//! A relay must know whether an answer is whole, whether bytes came that belong
-//! to no request, and whether any byte of a request was sent. `awc` hides all
-//! three behind its pool and takes the end of a connection for the end of a
-//! body, so this goes one floor down: `httparse` for heads, the framing here.
+//! The relay must know whether a response is complete, whether bytes arrived that
+//! belong to no request, and whether any byte of a request was sent. `awc` hides all
+//! three behind its connection pool and treats the end of a connection as the end of
+//! a body. This module therefore parses heads with `httparse` and implements the body
+//! framing itself.
 
 pub mod body;
 pub mod call;
@@ -20,22 +21,22 @@
 
 use thiserror::Error;
 
-/// Why there is no whole answer.
+/// Why a complete response could not be read.
 #[derive(Debug, Error)]
 pub enum Error {
     /// No byte of the request was sent.
     #[error("not sent: {0}")]
     Unsent(#[source] io::Error),
-    /// The connection ended or broke before the answer was whole.
+    /// The connection was closed or failed before the response was complete.
     #[error("cut off: {0}")]
     Cut(#[source] io::Error),
-    /// What came is no answer in the protocol.
+    /// The bytes received are not a valid HTTP/1.1 response.
     #[error("not an answer: {0}")]
     Malformed(&'static str),
-    /// The answer is longer than the asker takes.
+    /// The response body exceeds the caller's size limit.
     #[error("the answer is too large")]
     TooLarge,
-    /// Nothing more came in time.
+    /// The response was not complete before the timeout.
     #[error("no answer in time")]
     TimedOut,
 }
--- a/crates/relay/src/upstream/body.rs
+++ b/crates/relay/src/upstream/body.rs
@@ -1,56 +1,58 @@
-//! Where the body of an answer ends.
+//! Decoding of response bodies by their framing.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::upstream::Error;
 
-/// The longest line that announces a chunk, in bytes: a length and an extension.
-const MOST_LINE: usize = 1024;
+/// The maximum length of a line in a chunked body, in bytes. A chunk's header line holds
+/// its size and optional extensions.
+const MAX_LINE_BYTES: usize = 1024;
 
-/// How a body is framed, and how far it has been read.
+/// How a body is delimited, and how much of it is still to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes are to come.
+    /// `Content-Length`, with the number of bytes that remain.
     Length(u64),
-    /// Chunks follow.
+    /// `Transfer-Encoding: chunked`.
     Chunked(Chunk),
-    /// The body ends with the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// Where in a chunked body the reading is.
+/// The state of the chunked decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chunk {
-    /// Before the line that announces a chunk.
+    /// Before a chunk's header line.
     Line,
-    /// In a chunk, with so many bytes to come.
+    /// Inside a chunk, with the number of bytes that remain.
     Data(u64),
-    /// Before the line end after a chunk.
+    /// Before the CRLF that ends a chunk.
     DataEnd,
-    /// Among the trailers after the last chunk.
+    /// In the trailer section after the last chunk.
     Trailer,
-    /// After the end.
+    /// The body is complete.
     Done,
 }
 
-/// The next piece of a body, as far as the buffer holds it.
+/// The result of decoding what the buffer holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
-    /// Bytes of the body.
+pub enum Decoded {
+    /// Body data, without its framing.
     Bytes(Bytes),
-    /// More must be read first.
-    More,
-    /// The body is whole.
+    /// More input is needed.
+    NeedMore,
+    /// The body is complete.
     End,
 }
 
 impl Framing {
-    /// A body in chunks, at its beginning.
+    /// The framing of a chunked body that has not been read yet.
     pub fn chunked() -> Self {
         Self::Chunked(Chunk::Line)
     }
 
-    /// The announced length, in bytes.
+    /// The number of body bytes that remain according to `Content-Length`; `None` for other
+    /// framings.
     pub fn content_length(&self) -> Option<u64> {
         match self {
             Self::Length(length) => Some(*length),
@@ -58,37 +60,37 @@
         }
     }
 
-    /// Whether the end of the connection is the end of the body.
+    /// Whether the body is delimited by the close of the connection.
     pub fn is_close_delimited(&self) -> bool {
         matches!(self, Self::UntilClose)
     }
 
-    /// Takes the next piece off the front of the buffer.
+    /// Decodes body data from the front of the buffer and removes it.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if the bytes are no chunk.
-    pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Piece, Error> {
+    /// [`Error::Malformed`] if the chunked encoding is invalid.
+    pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Decoded, Error> {
         match self {
-            Self::Length(0) => Ok(Piece::End),
-            Self::Length(left) => Ok(take_up_to(buffer, left)),
-            Self::UntilClose if buffer.is_empty() => Ok(Piece::More),
-            Self::UntilClose => Ok(Piece::Bytes(buffer.split().freeze())),
+            Self::Length(0) => Ok(Decoded::End),
+            Self::Length(left) => Ok(take_at_most(buffer, left)),
+            Self::UntilClose if buffer.is_empty() => Ok(Decoded::NeedMore),
+            Self::UntilClose => Ok(Decoded::Bytes(buffer.split().freeze())),
             Self::Chunked(chunk) => chunk.take(buffer),
         }
     }
 }
 
 impl Chunk {
-    fn take(&mut self, buffer: &mut BytesMut) -> Result<Piece, Error> {
+    fn take(&mut self, buffer: &mut BytesMut) -> Result<Decoded, Error> {
         loop {
             match self {
-                Self::Done => return Ok(Piece::End),
+                Self::Done => return Ok(Decoded::End),
                 Self::Data(0) => *self = Self::DataEnd,
-                Self::Data(left) => return Ok(take_up_to(buffer, left)),
+                Self::Data(left) => return Ok(take_at_most(buffer, left)),
                 Self::Line => {
                     let Some(line) = line(buffer)? else {
-                        return Ok(Piece::More);
+                        return Ok(Decoded::NeedMore);
                     };
                     *self = match chunk_length(&line)? {
                         0 => Self::Trailer,
@@ -97,7 +99,7 @@
                 }
                 Self::DataEnd => {
                     let Some(line) = line(buffer)? else {
-                        return Ok(Piece::More);
+                        return Ok(Decoded::NeedMore);
                     };
                     if !line.is_empty() {
                         return Err(Error::Malformed("a chunk is longer than announced"));
@@ -106,7 +108,7 @@
                 }
                 Self::Trailer => {
                     let Some(line) = line(buffer)? else {
-                        return Ok(Piece::More);
+                        return Ok(Decoded::NeedMore);
                     };
                     if line.is_empty() {
                         *self = Self::Done;
@@ -117,20 +119,21 @@
     }
 }
 
-fn take_up_to(buffer: &mut BytesMut, left: &mut u64) -> Piece {
+fn take_at_most(buffer: &mut BytesMut, left: &mut u64) -> Decoded {
     if buffer.is_empty() {
-        return Piece::More;
+        return Decoded::NeedMore;
     }
-    let most = usize::try_from(*left).unwrap_or(usize::MAX);
-    let taken = buffer.len().min(most);
+    let limit = usize::try_from(*left).unwrap_or(usize::MAX);
+    let taken = buffer.len().min(limit);
     *left -= taken as u64;
-    Piece::Bytes(buffer.split_to(taken).freeze())
+    Decoded::Bytes(buffer.split_to(taken).freeze())
 }
 
-/// A line without its end; none while it is not there as a whole.
+/// Removes a line from the buffer and returns it without its CRLF; `None` until the buffer
+/// holds a complete line.
 fn line(buffer: &mut BytesMut) -> Result<Option<Bytes>, Error> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        if buffer.len() > MOST_LINE {
+        if buffer.len() > MAX_LINE_BYTES {
             return Err(Error::Malformed("a chunk's line is too long"));
         }
         return Ok(None);
@@ -149,8 +152,8 @@
 fn chunk_length(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = std::str::from_utf8(digits).map_err(|_| Error::Malformed("a chunk's length"))?;
-    let is_plain = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let is_hex = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     let length = u64::from_str_radix(digits, 16).ok();
-    let length = length.filter(|_| is_plain);
+    let length = length.filter(|_| is_hex);
     length.ok_or(Error::Malformed("a chunk's length"))
 }
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -1,4 +1,4 @@
-//! One short call, with its answer read whole: for calls to the platform.
+//! A client for short calls to the platform whose response body is read completely.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,32 +12,33 @@
 use crate::upstream::connection::{self, Connection};
 use crate::upstream::{Error, Head};
 
-/// The largest answer that is read, in bytes: a page of rows, with room.
-const MOST_ANSWER: usize = 8 * 1024 * 1024;
+/// The maximum size of a response body, in bytes. It leaves headroom above a page of rows.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// A client that keeps one connection to one address.
+/// A client for one address that keeps at most one connection alive.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
-/// Nothing can be called at a URL.
+/// The URL is not of the form `http://IP:PORT`.
 #[derive(Debug, ThisError)]
 #[error("expected http://IP:PORT, found `{0}`")]
 pub struct Address(String);
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Client {
-    /// A client of what a base URL of the form `http://IP:PORT` names; it has no connection yet.
+    /// Creates a client from a base URL of the form `http://IP:PORT`; it connects on the
+    /// first call.
     ///
     /// ```
     /// use woodgap_relay::upstream::call::Client;
@@ -48,14 +49,14 @@
     ///
     /// # Errors
     ///
-    /// If the URL has another form.
+    /// [`Address`] if the URL has another form.
     pub fn from_url(url: &str) -> Result<Self, Address> {
         let address = url.strip_prefix("http://").and_then(|it| it.parse().ok());
         let address = address.ok_or_else(|| Address(url.to_owned()))?;
         Ok(Self::new(address))
     }
 
-    /// A client that has no connection yet.
+    /// Creates a client that connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -63,11 +64,11 @@
         }
     }
 
-    /// Makes a call; a body is sent as JSON.
+    /// Sends a request and reads the complete response; a body is sent as JSON.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the connection is not used again then.
+    /// Any [`Error`]; the connection is then not reused.
     pub async fn call(
         &mut self,
         method: &Method,
@@ -79,16 +80,16 @@
             .await
     }
 
-    /// Makes a call with these headers beside the usual ones.
+    /// Like [`Self::call`], with additional request headers.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the connection is not used again then.
+    /// Any [`Error`]; the connection is then not reused.
     pub async fn call_with_headers(
         &mut self,
         method: &Method,
         target: &str,
-        more: &[(&'static str, &str)],
+        extra_headers: &[(&'static str, &str)],
         body: Option<&[u8]>,
         timeout: Millis,
     ) -> Result<Response, Error> {
@@ -103,12 +104,16 @@
             headers.push(("Content-Type", b"application/json"));
             headers.push(("Content-Length", length.as_bytes()));
         }
-        headers.extend(more.iter().map(|(name, value)| (*name, value.as_bytes())));
+        headers.extend(
+            extra_headers
+                .iter()
+                .map(|(name, value)| (*name, value.as_bytes())),
+        );
         let head = connection::request_head(method, target, headers);
         let exchange = exchange(&mut connection, method, &head, body.unwrap_or_default());
         let limit = Duration::from_millis(timeout.0);
-        let exchanged = tokio::time::timeout(limit, exchange).await;
-        let (head, body) = exchanged.map_err(|_| Error::TimedOut)??;
+        let outcome = tokio::time::timeout(limit, exchange).await;
+        let (head, body) = outcome.map_err(|_| Error::TimedOut)??;
         if connection.is_reusable() {
             connection.release_buffer();
             self.connection = Some(connection);
@@ -126,8 +131,8 @@
     head: &[u8],
     body: &[u8],
 ) -> Result<(Head, Bytes), Error> {
-    let answer = connection.exchange(head, body).await?;
-    let framing = answer.framing(method)?;
-    let body = connection.read_body(framing, MOST_ANSWER).await?;
-    Ok((answer, body))
+    let response = connection.exchange(head, body).await?;
+    let framing = response.framing(method)?;
+    let body = connection.read_body(framing, MAX_BODY_BYTES).await?;
+    Ok((response, body))
 }
--- a/crates/relay/src/upstream/connection.rs
+++ b/crates/relay/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, with one request on it at a time.
+//! An HTTP/1.1 connection that carries one request at a time, without pipelining.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,113 +12,118 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use woodgap_core::clock::Millis;
 
-use crate::upstream::body::Piece;
+use crate::upstream::body::Decoded;
 use crate::upstream::{Error, Framing, Head};
 
-/// How long a connection may take to come about: many round trips between
-/// regions, and less than the second after which TCP sends its first packet again.
+/// How long opening a connection may take: many round trips between regions, but less than
+/// the second after which TCP retransmits a SYN.
 pub const CONNECT_TIMEOUT: Millis = Millis(300);
-/// How long sent bytes may stay without a sign from the other machine before the
-/// connection is given up: several retransmissions.
-const ACKNOWLEDGE_TIMEOUT: Millis = Millis(2_500);
-/// How long a silent connection is left alone before the other machine is asked
-/// whether it is still there, how often it is, and how many answers may be missing.
-const PROBE: (Duration, Duration, u32) = (Duration::from_secs(1), Duration::from_secs(1), 2);
-/// How much is read at once, in bytes: an event or a short answer.
-const READ: usize = 4 * 1024;
-
-/// One connection to an endpoint.
+/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the connection is
+/// aborted. It allows for several retransmissions.
+const USER_TIMEOUT: Millis = Millis(2_500);
+/// TCP keepalive: the idle time before the first probe, the interval between probes, and the
+/// number of unanswered probes after which the connection is dropped.
+const KEEPALIVE: (Duration, Duration, u32) = (Duration::from_secs(1), Duration::from_secs(1), 2);
+/// The buffer space reserved for a read, in bytes; it fits an event or a short response.
+const READ_BYTES: usize = 4 * 1024;
+
+/// A connection to an endpoint, with its read buffer.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    /// Whether all of the last request was sent and all of its answer was read.
-    is_clean: bool,
-    served: u32,
+    /// Whether the last request was sent completely, its response allows keep-alive, and the
+    /// connection did not end while the body was read. Unread body bytes do not clear it.
+    allows_reuse: bool,
+    request_count: u32,
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects and sets the socket options.
     ///
     /// # Errors
     ///
-    /// [`Error::Unsent`] in any case.
+    /// [`Error::Unsent`], whatever the cause.
     pub async fn open(address: SocketAddr) -> Result<Self, Error> {
         let limit = Duration::from_millis(CONNECT_TIMEOUT.0);
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address));
-        let late = |_| Error::Unsent(io::ErrorKind::TimedOut.into());
-        let stream = connecting.await.map_err(late)?.map_err(Error::Unsent)?;
-        prepare(&stream).map_err(Error::Unsent)?;
+        let timed_out = |_| Error::Unsent(io::ErrorKind::TimedOut.into());
+        let stream = connecting
+            .await
+            .map_err(timed_out)?
+            .map_err(Error::Unsent)?;
+        set_socket_options(&stream).map_err(Error::Unsent)?;
         Ok(Self {
             stream,
             buffer: BytesMut::new(),
-            is_clean: true,
-            served: 0,
+            allows_reuse: true,
+            request_count: 0,
         })
     }
 
-    /// Whether another request can be sent: all is done, nothing came unasked,
-    /// and the other side has not closed.
+    /// Whether another request can be sent: the last exchange allows reuse, no unexpected bytes
+    /// have arrived, and the peer has not closed the connection.
     pub fn is_reusable(&self) -> bool {
-        if !self.is_clean || !self.buffer.is_empty() {
+        if !self.allows_reuse || !self.buffer.is_empty() {
             return false;
         }
-        let unasked = self.stream.try_read(&mut [0]);
-        unasked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        let unexpected = self.stream.try_read(&mut [0]);
+        unexpected.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// How many requests were sent on it.
+    /// The number of requests started on this connection.
     pub fn requests_sent(&self) -> u32 {
-        self.served
+        self.request_count
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response.
     ///
-    /// An answer may come before the request is sent as a whole; what is left of
-    /// the request is then not sent, and the connection can't be used again.
+    /// A response may arrive before the request is sent completely; the rest of the request
+    /// is then not sent, and the connection can't be reused.
     ///
     /// # Errors
     ///
     /// [`Error::Unsent`] only if no byte was sent.
     pub async fn exchange(&mut self, head: &[u8], body: &[u8]) -> Result<Head, Error> {
-        self.served += 1;
-        self.is_clean = false;
+        self.request_count += 1;
+        self.allows_reuse = false;
         let (mut reader, mut writer) = self.stream.split();
         let sending = send(&mut writer, head, body);
         let reading = read_head(&mut reader, &mut self.buffer);
         tokio::pin!(sending, reading);
-        let (sent, answered) = tokio::select! {
+        let (sent, received) = tokio::select! {
             biased;
             sent = &mut sending => (Some(sent), None),
-            answered = &mut reading => (None, Some(answered)),
+            received = &mut reading => (None, Some(received)),
         };
         let is_sent = matches!(sent, Some(Ok(())));
         if let Some(Err(error @ Error::Unsent(_))) = sent {
             return Err(error);
         }
-        let answered = match answered {
-            Some(answered) => answered,
-            // An endpoint may answer early and close: its answer counts.
+        let received = match received {
+            Some(received) => received,
+            // Sending may fail because the endpoint responded early and closed the
+            // connection; its response is still valid.
             None => reading.await,
         };
-        let answer = answered?;
-        self.is_clean = is_sent && answer.keeps_alive;
-        Ok(answer)
+        let response = received?;
+        self.allows_reuse = is_sent && response.keeps_alive;
+        Ok(response)
     }
 
-    /// Reads the head of the answer after one that belonged to no request.
+    /// Reads the head of the next response after one that belonged to no request.
     ///
     /// # Errors
     ///
-    /// As [`Self::exchange`], but never [`Error::Unsent`].
+    /// As for [`Self::exchange`], except [`Error::Unsent`].
     pub async fn next_head(&mut self) -> Result<Head, Error> {
         let (mut reader, _) = self.stream.split();
         let head = read_head(&mut reader, &mut self.buffer).await?;
-        self.is_clean &= head.keeps_alive;
+        self.allows_reuse &= head.keeps_alive;
         Ok(head)
     }
 
-    /// The next piece of the answer's body; none once it is whole.
+    /// Reads the next data of the response body; `None` once the body is complete.
     ///
     /// # Errors
     ///
@@ -126,16 +131,16 @@
     pub async fn next_data(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, Error> {
         loop {
             match framing.take(&mut self.buffer)? {
-                Piece::Bytes(bytes) => return Ok(Some(bytes)),
-                Piece::End => return Ok(None),
-                Piece::More => {}
+                Decoded::Bytes(bytes) => return Ok(Some(bytes)),
+                Decoded::End => return Ok(None),
+                Decoded::NeedMore => {}
             }
-            self.buffer.reserve(READ);
+            self.buffer.reserve(READ_BYTES);
             let count = self.stream.read_buf(&mut self.buffer).await;
             if count.map_err(Error::Cut)? > 0 {
                 continue;
             }
-            self.is_clean = false;
+            self.allows_reuse = false;
             if framing.is_close_delimited() {
                 return Ok(None);
             }
@@ -143,54 +148,58 @@
         }
     }
 
-    /// Reads the answer's body as a whole, up to a bound in bytes.
+    /// Reads the complete response body, up to `max_bytes`.
     ///
     /// # Errors
     ///
-    /// As [`Self::next_data`], and [`Error::Malformed`] above the bound.
-    pub async fn read_body(&mut self, mut framing: Framing, most: usize) -> Result<Bytes, Error> {
+    /// As for [`Self::next_data`], and [`Error::TooLarge`] above the limit.
+    pub async fn read_body(
+        &mut self,
+        mut framing: Framing,
+        max_bytes: usize,
+    ) -> Result<Bytes, Error> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.next_data(&mut framing).await? {
             whole.extend_from_slice(&piece);
-            if whole.len() > most {
+            if whole.len() > max_bytes {
                 return Err(Error::TooLarge);
             }
         }
         Ok(whole.freeze())
     }
 
-    /// Gives back the read buffer's memory while the connection rests.
+    /// Frees the read buffer's memory while the connection is idle.
     pub fn release_buffer(&mut self) {
         self.buffer = BytesMut::new();
     }
 }
 
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let (idle, period, count) = PROBE;
+    let (idle, interval, count) = KEEPALIVE;
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, idle)?;
-    sockopt::set_tcp_keepintvl(stream, period)?;
+    sockopt::set_tcp_keepintvl(stream, interval)?;
     sockopt::set_tcp_keepcnt(stream, count)?;
-    let timeout = u32::try_from(ACKNOWLEDGE_TIMEOUT.0).unwrap_or(u32::MAX);
+    let timeout = u32::try_from(USER_TIMEOUT.0).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, timeout)?;
     Ok(())
 }
 
-/// Sends head and body; with one call of the system where both are short.
+/// Sends head and body, with a single system call if the socket takes both at once.
 async fn send(writer: &mut WriteHalf<'_>, head: &[u8], body: &[u8]) -> Result<(), Error> {
-    let mut is_begun = false;
+    let mut is_partly_sent = false;
     let mut parts = [head, body];
     while parts.iter().any(|part| !part.is_empty()) {
         let slices = parts.map(io::IoSlice::new);
         let sent = writer.write_vectored(&slices).await.map_err(|error| {
-            if is_begun {
+            if is_partly_sent {
                 Error::Cut(error)
             } else {
                 Error::Unsent(error)
             }
         })?;
-        is_begun = true;
+        is_partly_sent = true;
         let from_head = sent.min(parts[0].len());
         parts = [&parts[0][from_head..], &parts[1][sent - from_head..]];
     }
@@ -202,7 +211,7 @@
         if let Some(head) = Head::take(buffer)? {
             return Ok(head);
         }
-        buffer.reserve(READ);
+        buffer.reserve(READ_BYTES);
         let count = reader.read_buf(buffer).await.map_err(Error::Cut)?;
         if count == 0 {
             return Err(Error::Cut(io::ErrorKind::UnexpectedEof.into()));
@@ -210,7 +219,7 @@
     }
 }
 
-/// The first line and the headers of a request, ready to be sent.
+/// Encodes the request line and the headers.
 ///
 /// ```
 /// use actix_http::Method;
--- a/crates/relay/src/upstream/head.rs
+++ b/crates/relay/src/upstream/head.rs
@@ -1,4 +1,4 @@
-//! The head of an answer, and how its body is framed.
+//! Parsing of response heads, and the framing of the body that follows.
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, StatusCode};
@@ -6,35 +6,35 @@
 
 use crate::upstream::{Error, Framing};
 
-/// The most headers that an answer may have.
-const MOST_HEADERS: usize = 64;
-/// The largest head of an answer, in bytes: as much as callers' requests may have.
-const MOST_BYTES: usize = 64 * 1024;
+/// The maximum number of headers in a response.
+const MAX_HEADERS: usize = 64;
+/// The maximum size of a response head, in bytes; the same limit as for callers' requests.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// The head of an answer.
+/// The status and headers of a response.
 #[derive(Debug)]
 pub struct Head {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// All headers, also those that concern the connection.
+    /// All headers, including hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Whether the connection may be used again after the answer.
+    /// Whether the connection may be reused after the response.
     pub keeps_alive: bool,
 }
 
 impl Head {
-    /// A header as text; none where it is missing or not text.
+    /// The value of a header; `None` if it is missing or not visible ASCII.
     pub fn header_str(&self, name: &str) -> Option<&str> {
         let value = self.headers.get(name)?;
         value.to_str().ok()
     }
 
-    /// Takes a head off the front of the buffer, once it is there as a whole.
-    /// Interim answers (1xx) are skipped.
+    /// Parses a head at the front of the buffer and removes it; `None` until the buffer holds
+    /// a complete head. Interim responses (1xx) are skipped.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if the bytes are no head.
+    /// [`Error::Malformed`] if the head is invalid or too large.
     pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>, Error> {
         loop {
             let Some((head, length)) = Self::parse(buffer)? else {
@@ -48,12 +48,12 @@
     }
 
     fn parse(buffer: &[u8]) -> Result<Option<(Self, usize)>, Error> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response.parse(buffer);
         let length = match parsed {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if buffer.len() > MOST_BYTES => {
+            Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
                 return Err(Error::Malformed("the head is too large"));
             }
             Ok(httparse::Status::Partial) => return Ok(None),
@@ -63,8 +63,8 @@
             .code
             .and_then(|code| StatusCode::from_u16(code).ok());
         let status = status.ok_or(Error::Malformed("the status is none"))?;
-        let headers = owned(response.headers)?;
-        let keeps_alive = response.version == Some(1) && !closes(&headers);
+        let headers = to_header_map(response.headers)?;
+        let keeps_alive = response.version == Some(1) && !has_connection_close(&headers);
         let head = Self {
             status,
             headers,
@@ -73,16 +73,17 @@
         Ok(Some((head, length)))
     }
 
-    /// How the body is framed, for an answer to this method.
+    /// The framing of the body, for a response to a request with this method.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if the head contradicts itself.
+    /// [`Error::Malformed`] if the framing headers conflict, are invalid or name an
+    /// unsupported transfer coding.
     pub fn framing(&self, method: &Method) -> Result<Framing, Error> {
-        let is_empty = method == Method::HEAD
+        let has_no_body = method == Method::HEAD
             || self.status == StatusCode::NO_CONTENT
             || self.status == StatusCode::NOT_MODIFIED;
-        if is_empty {
+        if has_no_body {
             return Ok(Framing::Length(0));
         }
         let coding = self.headers.get("transfer-encoding");
@@ -113,7 +114,7 @@
     }
 }
 
-fn owned(headers: &[httparse::Header<'_>]) -> Result<HeaderMap, Error> {
+fn to_header_map(headers: &[httparse::Header<'_>]) -> Result<HeaderMap, Error> {
     let mut map = HeaderMap::with_capacity(headers.len());
     for header in headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
@@ -126,7 +127,7 @@
     Ok(map)
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let tokens = headers
         .get_all("connection")
         .filter_map(|value| value.to_str().ok());
--- a/crates/relay/src/upstream/pool.rs
+++ b/crates/relay/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that rest between two requests.
+//! Pool of idle connections to endpoints.
 
 use std::collections::HashMap;
 
@@ -7,125 +7,130 @@
 
 use crate::upstream::{Connection, Head};
 
-/// How long a connection rests at most where the endpoint names no time.
-const DEFAULT_REST: Millis = Millis(4_000);
-/// The part of the endpoint's own time that a connection rests at most, in
-/// hundredths: so that it is not used at the moment at which it is closed.
-const REST_PART: u64 = 75;
-/// The most connections that rest for one endpoint.
-const MOST_RESTING: usize = 16;
+/// How long a connection may stay idle if the endpoint sends no `Keep-Alive` timeout.
+const DEFAULT_KEEP_ALIVE: Millis = Millis(4_000);
+/// The share of the endpoint's keep-alive timeout for which a connection is kept, in
+/// percent. The margin avoids sending a request while the endpoint closes the connection.
+const KEEP_ALIVE_PERCENT: u64 = 75;
+/// The maximum number of idle connections per endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Connections by an endpoint's life: one that starts again under its name never gets
-/// a request on a connection of its former life.
+/// Connections keyed by an endpoint's life, so that an endpoint that restarts under the same
+/// name never gets a request on a connection to its previous life.
 #[derive(Debug, Default)]
 pub struct Pool {
-    lines: HashMap<name::Life, Line>,
+    lines: HashMap<name::Life, EndpointConnections>,
 }
 
 #[derive(Debug, Default)]
-struct Line {
-    resting: Vec<Resting>,
+struct EndpointConnections {
+    idle: Vec<IdleConnection>,
     busy: usize,
 }
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Millis,
-    until: Millis,
+    expires_at: Millis,
 }
 
 impl Pool {
-    /// A resting connection that is still sound, the one used last, and how long it
-    /// has rested; `most` is the longest rest, where there is a bound.
+    /// Takes the most recently used idle connection that is still reusable, and returns it
+    /// with its idle time. `max_idle` limits the idle time, if given. Idle connections that
+    /// don't qualify are closed on the way.
     pub fn take(
         &mut self,
         endpoint: &name::Life,
-        most: Option<Millis>,
+        max_idle: Option<Millis>,
         now: Millis,
     ) -> Option<(Connection, Millis)> {
-        let line = self.lines.get_mut(endpoint)?;
-        while let Some(resting) = line.resting.pop() {
-            let rested = now - resting.since;
-            let is_short = most.is_none_or(|most| rested <= most);
-            if is_short && now < resting.until && resting.connection.is_reusable() {
-                return Some((resting.connection, rested));
+        let connections = self.lines.get_mut(endpoint)?;
+        while let Some(idle) = connections.idle.pop() {
+            let idle_time = now - idle.since;
+            let is_within_limit = max_idle.is_none_or(|max_idle| idle_time <= max_idle);
+            if is_within_limit && now < idle.expires_at && idle.connection.is_reusable() {
+                return Some((idle.connection, idle_time));
             }
         }
         None
     }
 
-    /// Counts a connection that is taken or opened for a request.
+    /// Counts a pooled or new connection as in use by a request.
     pub fn acquire(&mut self, endpoint: &name::Life) {
         self.lines.entry(endpoint.clone()).or_default().busy += 1;
     }
 
-    /// Counts it off again.
+    /// Reverts [`Self::acquire`] when the request is done with its connection.
     pub fn release(&mut self, endpoint: &name::Life) {
-        if let Some(line) = self.lines.get_mut(endpoint) {
-            line.busy = line.busy.saturating_sub(1);
+        if let Some(connections) = self.lines.get_mut(endpoint) {
+            connections.busy = connections.busy.saturating_sub(1);
         }
     }
 
-    /// How many connections requests are using.
+    /// The number of connections in use by requests.
     pub fn busy(&self, endpoint: &name::Life) -> usize {
-        self.lines.get(endpoint).map_or(0, |line| line.busy)
+        self.lines
+            .get(endpoint)
+            .map_or(0, |connections| connections.busy)
     }
 
-    /// Keeps a connection for later, if it can be used again.
+    /// Keeps a connection idle for up to `keep_alive`. It is closed instead if it is not
+    /// reusable, if `keep_alive` is zero or if the endpoint has enough idle connections.
     pub fn put(
         &mut self,
         endpoint: &name::Life,
         mut connection: Connection,
-        rest: Millis,
+        keep_alive: Millis,
         now: Millis,
     ) {
-        if rest == Millis::ZERO || !connection.is_reusable() {
+        if keep_alive == Millis::ZERO || !connection.is_reusable() {
             return;
         }
-        let line = self.lines.entry(endpoint.clone()).or_default();
-        if line.resting.len() < MOST_RESTING {
+        let connections = self.lines.entry(endpoint.clone()).or_default();
+        if connections.idle.len() < MAX_IDLE_CONNECTIONS {
             connection.release_buffer();
-            line.resting.push(Resting {
+            connections.idle.push(IdleConnection {
                 connection,
                 since: now,
-                until: now + rest,
+                expires_at: now + keep_alive,
             });
         }
     }
 
-    /// Closes the resting connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     pub fn close(&mut self, endpoint: &name::Life) {
-        if let Some(line) = self.lines.get_mut(endpoint) {
-            line.resting.clear();
+        if let Some(connections) = self.lines.get_mut(endpoint) {
+            connections.idle.clear();
         }
     }
 
-    /// Closes connections that have rested long enough or were closed by the
-    /// endpoint, and forgets endpoints of which nothing is left.
+    /// Closes idle connections that have expired or were closed by the endpoint, and removes
+    /// endpoints without connections.
     pub fn sweep(&mut self, now: Millis) {
-        for line in self.lines.values_mut() {
-            line.resting
-                .retain(|resting| now < resting.until && resting.connection.is_reusable());
+        for connections in self.lines.values_mut() {
+            connections
+                .idle
+                .retain(|idle| now < idle.expires_at && idle.connection.is_reusable());
         }
         self.lines
-            .retain(|_, line| line.busy > 0 || !line.resting.is_empty());
+            .retain(|_, connections| connections.busy > 0 || !connections.idle.is_empty());
     }
 }
 
-/// How long a connection may rest after this answer.
+/// How long a connection may stay idle after this response; zero if it must be closed.
 pub fn keep_alive_duration(head: &Head) -> Millis {
     if !head.keeps_alive {
         return Millis::ZERO;
     }
     let Some(text) = head.header_str("keep-alive") else {
-        return DEFAULT_REST;
+        return DEFAULT_KEEP_ALIVE;
     };
     let parameters = text.split(',').map(str::trim);
     let seconds = parameters
         .filter_map(|parameter| parameter.strip_prefix("timeout="))
         .find_map(|seconds| seconds.parse::<u64>().ok());
-    seconds.map_or(DEFAULT_REST, |seconds| {
-        Millis(seconds.saturating_mul(1_000) * REST_PART / 100)
+    seconds.map_or(DEFAULT_KEEP_ALIVE, |seconds| {
+        Millis(seconds.saturating_mul(1_000) * KEEP_ALIVE_PERCENT / 100)
     })
 }
