--- a/crates/relay/src/request/attempt.rs
+++ b/crates/relay/src/request/attempt.rs
@@ -11,7 +11,7 @@
 
 use crate::dialect::{Decline, Reply};
 use crate::request::placement::{MAX_DISCARDED_BYTES, Placement};
-use crate::request::{AccessRecord, AdmittedRequest, EndpointResponse, forward, response};
+use crate::request::{EndpointResponse, AdmittedRequest, AccessRecord, response, forward};
 use crate::state::State;
 use crate::upstream::pool;
 use crate::upstream::{Connection, Error, Head};
@@ -119,7 +119,7 @@
 ) -> Result<(Connection, Head, Millis), AttemptError> {
     let (mut connection, idle) = connect(state, choice, record).await?;
     let head = forward::head(state, request, choice);
-    record.record_send(connection.served() > 0);
+    record.record_send(connection.requests_sent() > 0);
     let sent = state.now();
     let exchanged = connection.exchange(&head, &request.body).await;
     if matches!(exchanged, Err(Error::Cut(_))) {
@@ -140,7 +140,7 @@
             "skipped a response to another request"
         );
         let framing = response.framing(&request.method)?;
-        connection.whole(framing, MAX_DISCARDED_BYTES).await?;
+        connection.read_body(framing, MAX_DISCARDED_BYTES).await?;
         response = connection.next_head().await?;
     }
     placement.record_first_byte();
@@ -154,7 +154,7 @@
     }
     // A connection that delivered a response to another request is not reused.
     let max_idle = if stray == 0 {
-        pool::rest(&response)
+        pool::keep_alive_duration(&response)
     } else {
         Millis::ZERO
     };
--- a/crates/relay/src/request/placement.rs
+++ b/crates/relay/src/request/placement.rs
@@ -46,7 +46,7 @@
         let profile = request.profile();
         let now = state.now();
         let ticket = state.loads.borrow_mut().begin(choice, &profile, now);
-        state.pool.borrow_mut().occupy(ticket.endpoint());
+        state.pool.borrow_mut().acquire(ticket.endpoint());
         if state.roster.borrow().is_cold(ticket.endpoint(), now) {
             state.warmed.borrow_mut().record(ticket.endpoint(), now);
         }
@@ -155,7 +155,11 @@
         let Ok(framing) = response.framing(&request.method) else {
             return;
         };
-        if connection.whole(framing, MAX_DISCARDED_BYTES).await.is_ok() {
+        if connection
+            .read_body(framing, MAX_DISCARDED_BYTES)
+            .await
+            .is_ok()
+        {
             self.return_connection(connection, max_idle);
         }
     }
--- a/crates/relay/src/request/response.rs
+++ b/crates/relay/src/request/response.rs
@@ -12,7 +12,7 @@
 
 use crate::request::AccessRecord;
 use crate::request::attempt::AttemptError;
-use crate::request::forward::{connection_options, is_end_to_end};
+use crate::request::forward::{is_end_to_end, connection_options};
 use crate::request::placement::Placement;
 use crate::state::State;
 use crate::upstream::{Connection, Error, Framing, Head};
@@ -84,7 +84,7 @@
         placement.record_signal(signal(head.status));
         let Some(framing) = framing else {
             let framing = head.framing(method);
-            if framing.is_ok_and(|framing| !framing.ends_with_connection()) {
+            if framing.is_ok_and(|framing| !framing.is_close_delimited()) {
                 placement.record_survival(head.status);
             }
             placement.return_connection(connection, pause);
@@ -116,15 +116,15 @@
     ) -> Result<(Option<Framing>, Bytes), Error> {
         let mut framing = head.framing(method)?;
         let is_short = framing
-            .announced()
+            .content_length()
             .is_some_and(|length| length <= MAX_BUFFERED_BYTES);
-        let ends_with_connection = framing.ends_with_connection() && !is_event_stream(head);
+        let ends_with_connection = framing.is_close_delimited() && !is_event_stream(head);
         if is_short || ends_with_connection {
             let max_bytes = usize::try_from(MAX_BUFFERED_BYTES).unwrap_or(usize::MAX);
-            let body = connection.whole(framing, max_bytes).await?;
+            let body = connection.read_body(framing, max_bytes).await?;
             return Ok((None, body));
         }
-        match connection.piece(&mut framing).await? {
+        match connection.next_data(&mut framing).await? {
             Some(first) => Ok((Some(framing), first)),
             None => Ok((None, Bytes::new())),
         }
@@ -191,7 +191,7 @@
 
 /// Whether the body is a stream of events.
 pub fn is_event_stream(head: &Head) -> bool {
-    let content_type = head.text("content-type");
+    let content_type = head.header_str("content-type");
     content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
 
@@ -205,13 +205,13 @@
 
     /// The next bytes, or `None` at the end of the body.
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, Error> {
-        let chunk = self.connection.piece(&mut self.framing).await?;
+        let chunk = self.connection.next_data(&mut self.framing).await?;
         if let Some(bytes) = &chunk {
             self.record_tail(bytes);
             return Ok(chunk);
         }
         // A connection that closes in the middle of an event was cut off.
-        let ends_well = !self.framing.ends_with_connection() || self.tail == *b"\n\n";
+        let ends_well = !self.framing.is_close_delimited() || self.tail == *b"\n\n";
         if self.is_event_stream && !ends_well {
             return Err(Error::Cut(std::io::ErrorKind::UnexpectedEof.into()));
         }
@@ -248,7 +248,7 @@
             }
             Ok(None) => {
                 self.record.complete(self.status.as_u16());
-                if !self.remainder.framing.ends_with_connection() {
+                if !self.remainder.framing.is_close_delimited() {
                     self.remainder.placement.record_survival(self.status);
                 }
                 self.remainder
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -18,12 +18,12 @@
 use woodgap_core::verdict::Verdict;
 
 use crate::dialect::Decline;
-use crate::front::server::Connected;
+use crate::front::server::ConnectedAt;
 use crate::request::admit::{self, AdmittedRequest};
 use crate::request::attempt::{AttemptError, attempt};
 use crate::request::crash;
 use crate::request::problem::Code;
-use crate::request::{AccessRecord, EndpointResponse, Problem};
+use crate::request::{EndpointResponse, AccessRecord, Problem};
 use crate::state::State;
 
 /// Maximum number of attempts that fail before any byte is sent.
@@ -58,7 +58,7 @@
 
 /// Serves one request.
 pub async fn serve(state: Rc<State>, request: Request) -> Response<BoxBody> {
-    let connected = request.conn_data::<Connected>();
+    let connected = request.conn_data::<ConnectedAt>();
     let connected = connected.map_or_else(|| state.now(), |it| it.0);
     let mut record = AccessRecord::open(&state, connected);
     // Callers that still wait when the process is about to exit get an error response.
