--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -13,8 +13,8 @@
 use woodgap_core::relay::roster::{Change, Endpoint};
 use woodgap_core::relay::{Plan, Table};
 
-use crate::source::row::{Content, Faults, Row};
-use crate::source::{Endpoints, Error, Evacuations, News, Operators, Plans};
+use crate::source::row::{Content, Row, UnusableRows};
+use crate::source::{Endpoints, Error, Evacuations, OperatorUpdate, Plans, Update};
 use crate::state::State;
 use crate::upkeep;
 
@@ -51,8 +51,8 @@
                     state.ask_endpoints.notify_one();
                 }
                 cursor = Some(news.cursor);
-                let as_of = dating.response_time(asked, news.made, state.now());
-                let Operators { plans, evacuations } = news.content.unwrap_or_default();
+                let as_of = dating.response_time(asked, news.produced_at, state.now());
+                let OperatorUpdate { plans, evacuations } = news.content.unwrap_or_default();
                 // First, so that no plan is in force without them.
                 if let Some(evacuations) = evacuations {
                     take_evacuations(&state, evacuations, "platform");
@@ -70,7 +70,7 @@
 fn tell_plans(plans: &[Row<Plan>], told: &mut Option<u64>, state: &State) {
     let newest = plans.last().map(|row| row.version);
     if newest.is_some() && *told != newest {
-        Faults::new("configuration").note(plans, &state.metrics);
+        UnusableRows::new("configuration").record(plans, &state.metrics);
         *told = newest;
     }
 }
@@ -119,7 +119,7 @@
 pub async fn endpoints(state: Rc<State>) {
     let mut cursor = None;
     let mut link = Link::new("endpoints");
-    let mut faults = Faults::new("endpoints");
+    let mut faults = UnusableRows::new("endpoints");
     loop {
         let wait = tokio::select! {
             wait = until_due(&state, Subject::Endpoints) => wait,
@@ -135,7 +135,7 @@
             () = state.platform_is_back.notified() => continue,
         };
         match link.settle(&state, answer.unwrap_or_else(late)).await {
-            Some(News {
+            Some(Update {
                 cursor: at,
                 content,
                 ..
@@ -149,7 +149,7 @@
                         take_endpoints(&state, all, revision, asked, "platform");
                     }
                     Some(Endpoints::Changes(rows)) => {
-                        faults.note(&rows, &state.metrics);
+                        faults.record(&rows, &state.metrics);
                         let changes = rows.into_iter().map(change).collect();
                         take_changes(&state, changes, asked, "platform");
                         tokio::time::sleep(Duration::from_millis(GATHER.0)).await;
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -13,7 +13,7 @@
 
 /// The time between two rounds: three missed ones take an entry off the lists
 /// that callers get, while these are kept for a second.
-pub const ROUND: Millis = Millis(300);
+pub const ROUND_INTERVAL: Millis = Millis(300);
 /// The time between two rounds of an entry that can't take requests yet: others may
 /// start at the same moment and miss its first question.
-pub const FIRST_ROUND: Millis = Millis(50);
+pub const STARTUP_ROUND_INTERVAL: Millis = Millis(50);
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -15,9 +15,9 @@
 use woodgap_core::relay::polling;
 
 use crate::gossip::message::{
-    self, Knowledge, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message, USUALLY_TOLD,
+    self, Knowledge, MAX_DATAGRAM_BYTES, MAX_LOADS, MAX_SUSPECTS, MEMBERS_PER_MESSAGE, Message,
 };
-use crate::gossip::{FIRST_ROUND, ROUND, fetch};
+use crate::gossip::{ROUND_INTERVAL, STARTUP_ROUND_INTERVAL, fetch};
 use crate::state::State;
 
 /// After so long an answer is not waited for.
@@ -47,7 +47,7 @@
         summarised: Millis::ZERO,
         counted: Millis::ZERO,
     };
-    let mut buffer = [0; MOST_BYTES];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let socket = Rc::clone(&exchange.socket);
     let mut next = tokio::time::Instant::now();
     loop {
@@ -68,9 +68,9 @@
 /// The time until the next round: short while there is nothing to serve by yet.
 fn until_next(state: &State) -> Duration {
     let round = if state.knows_all() && state.knows_withheld() {
-        ROUND
+        ROUND_INTERVAL
     } else {
-        FIRST_ROUND
+        STARTUP_ROUND_INTERVAL
     };
     Duration::from_millis(round.0)
 }
@@ -118,7 +118,7 @@
         if to.is_empty() {
             return;
         }
-        let farewell = self.bare(message::FAREWELL, true);
+        let farewell = self.bare(message::STOP_NOTICE, true);
         for address in to {
             self.send(&farewell, address);
         }
@@ -130,7 +130,7 @@
         self.next = self.next.wrapping_add(1).max(1);
         self.asked.insert(self.next, self.state.now());
         question.number = self.next;
-        question.told = self.told();
+        question.members = self.told();
         self.send(&question, address);
     }
 
@@ -175,15 +175,15 @@
 
     fn message(&mut self, number: u64, is_answer: bool) -> Message {
         let now = self.state.now();
-        let tidings = self.state.loads.borrow().gossip(MOST_SHARES, now);
+        let load = self.state.loads.borrow().gossip(MAX_LOADS, now);
         let mut message = Message {
-            told: self.told(),
-            tidings,
-            rests: self.state.rests.borrow().report(now),
+            members: self.told(),
+            load,
+            idle_limits: self.state.rests.borrow().report(now),
             ..self.bare(number, is_answer)
         };
-        let suspects = self.state.quarantine.borrow_mut().tell(MOST_SUSPECTS, now);
-        if let Err(error) = message::accuse(&mut message, suspects) {
+        let suspects = self.state.quarantine.borrow_mut().tell(MAX_SUSPECTS, now);
+        if let Err(error) = message::add_suspects(&mut message, suspects) {
             log::debug!(error = error.to_string(); "a request can't be told of");
         }
         message
@@ -195,11 +195,11 @@
             number,
             is_answer,
             from: self.state.member(),
-            knows: knowledge(&self.state),
-            known: self.state.fleet.borrow().size() - 1,
-            told: Vec::new(),
-            tidings: LoadReport::default(),
-            rests: Vec::new(),
+            knowledge: knowledge(&self.state),
+            known_entries: self.state.fleet.borrow().size() - 1,
+            members: Vec::new(),
+            load: LoadReport::default(),
+            idle_limits: Vec::new(),
             suspects: Vec::new(),
             unix: self.state.clock.unix(),
             claim: self.state.claim.borrow().clone(),
@@ -211,11 +211,11 @@
         let now = self.state.now();
         let fleet = self.state.fleet.borrow();
         let answering = fleet.reachable_after(self.told_last.as_ref(), now);
-        let told: Vec<_> = answering.take(USUALLY_TOLD).cloned().collect();
-        if let Some(last) = told.last() {
+        let members: Vec<_> = answering.take(MEMBERS_PER_MESSAGE).cloned().collect();
+        if let Some(last) = members.last() {
             self.told_last = Some(last.name.clone());
         }
-        told
+        members
     }
 
     /// An answer to one that knows few others tells of as many as it holds, those of its
@@ -225,11 +225,11 @@
         let fleet = self.state.fleet.borrow();
         let last = self.introduced.get(&newcomer.data_centre);
         let others = fleet.peers_for_newcomer(newcomer, last, now);
-        let before = answer.told.len();
-        if let Err(error) = message::fill(answer, &others) {
+        let before = answer.members.len();
+        if let Err(error) = message::add_members(answer, &others) {
             log::debug!(error = error.to_string(); "an entry can't be told of");
         }
-        if let Some(last) = answer.told[before..].last() {
+        if let Some(last) = answer.members[before..].last() {
             let data_centre = newcomer.data_centre.clone();
             self.introduced.insert(data_centre, last.name.clone());
         }
@@ -259,11 +259,11 @@
         let Some(claim) = claim.as_ref() else { return };
         self.counted = now;
         let own = self.state.settings.peer_listen;
-        for told in self.state.meter.borrow().snapshot() {
+        for window_counts in self.state.meter.borrow().snapshot() {
             let counts = message::Counts {
                 entry: self.state.settings.name.clone(),
                 incarnation: self.state.incarnation(),
-                told,
+                window_counts,
             };
             let datagrams = message::encode_counts(&counts).unwrap_or_default();
             for collector in claim.collectors.iter().filter(|it| **it != own) {
@@ -285,7 +285,7 @@
         let from = (counts.entry, counts.incarnation);
         let unix = self.state.unix();
         let mut sums = self.state.sums.borrow_mut();
-        sums.record(&from, counts.told, unix, duties.window);
+        sums.record(&from, counts.window_counts, unix, duties.window);
     }
 
     fn receive(&mut self, bytes: &[u8], sender: SocketAddr) {
@@ -300,7 +300,7 @@
         let now = self.state.now();
         {
             let mut fleet = self.state.fleet.borrow_mut();
-            for member in &message.told {
+            for member in &message.members {
                 fleet.record_gossip(member.clone(), now);
             }
             if message.from.stopping && !fleet.has_announced_stop(&message.from) {
@@ -311,9 +311,9 @@
                 log::debug!(entry = message.from.name.as_str(); "another entry answers");
             }
         }
-        if message.number != message::FAREWELL {
+        if message.number != message::STOP_NOTICE {
             let mut loads = self.state.loads.borrow_mut();
-            loads.apply_gossip(&message.from.name, &message.tidings, now);
+            loads.apply_gossip(&message.from.name, &message.load, now);
         }
         // Only the duties go by the time on which entries agree.
         if self.state.settings.duties.is_some() {
@@ -324,16 +324,23 @@
         if let Some(claim) = &message.claim {
             self.state.take_claim(claim.clone());
         }
-        self.state.rests.borrow_mut().merge(&message.rests, now);
+        self.state
+            .rests
+            .borrow_mut()
+            .merge(&message.idle_limits, now);
         self.state.told_of_crashes(&message.suspects);
-        if message.knows.withheld {
+        if message.knowledge.withheld {
             self.state.has_read_withheld.set(true);
         }
         if message.is_answer {
             self.learn(&message, now);
         } else {
             let mut answer = self.message(message.number, true);
-            let is_newcomer = self.state.fleet.borrow().is_newcomer(message.known, now);
+            let is_newcomer = self
+                .state
+                .fleet
+                .borrow()
+                .is_newcomer(message.known_entries, now);
             if is_newcomer {
                 self.introduce(&mut answer, &message.from);
             }
@@ -346,7 +353,7 @@
     /// Asks the sender of a question whose plan is confirmed where the own one is not.
     fn ask_back(&mut self, message: &Message) {
         let own = knowledge(&self.state);
-        let told = message.knows;
+        let told = message.knowledge;
         let spread = self.state.fleet.borrow().propagation_time();
         if told.plan == own.plan && polling::should_query_back(own.plan_age, told.plan_age, spread)
         {
@@ -364,7 +371,7 @@
         if now - asked >= LATE {
             return;
         }
-        let knows = message.knows;
+        let knows = message.knowledge;
         self.state.confirm_plan(knows.plan, asked - knows.plan_age);
         let endpoints_as_of = asked - knows.endpoints_age;
         let mut roster = self.state.roster.borrow_mut();
@@ -373,11 +380,12 @@
 
     /// Fetches what another entry knows and this one does not yet.
     fn fetch_newer(&self, message: &Message) {
-        let has_plan = message.knows.plan > self.state.force.borrow().version();
-        let has_endpoints = message.knows.endpoints > self.state.roster.borrow().revision();
-        let has_evacuation = message.knows.evacuation > self.state.evacuation.borrow().revision();
+        let has_plan = message.knowledge.plan > self.state.force.borrow().version();
+        let has_endpoints = message.knowledge.endpoints > self.state.roster.borrow().revision();
+        let has_evacuation =
+            message.knowledge.evacuation > self.state.evacuation.borrow().revision();
         if has_plan || has_endpoints || has_evacuation {
-            fetch::begin(&self.state, message.from.peer);
+            fetch::start(&self.state, message.from.peer);
         }
     }
 }
--- a/crates/relay/src/gossip/fetch.rs
+++ b/crates/relay/src/gossip/fetch.rs
@@ -13,7 +13,7 @@
 
 use crate::follow;
 use crate::gossip::exchange::knowledge;
-use crate::gossip::message::{FORM, Fetch, Fetched, Listed};
+use crate::gossip::message::{FORM, FetchRequest, FetchResponse, Listed};
 use crate::source::Evacuations;
 use crate::state::State;
 
@@ -51,7 +51,7 @@
 impl Fetches {
     /// Whether an entry may be asked now. One that knows nothing yet asks one at a time, as
     /// all that have just started ask the same few for whole lists.
-    pub fn may_begin(&self, from: SocketAddr, knows_all: bool, now: Millis) -> bool {
+    pub fn may_start(&self, from: SocketAddr, knows_all: bool, now: Millis) -> bool {
         let patience = if knows_all { PATIENCE } else { TIMEOUT };
         let is_free =
             |(asked, heard): &(SocketAddr, Millis)| *asked != from && now - *heard >= patience;
@@ -117,11 +117,11 @@
 }
 
 /// Begins to fetch from another entry what is newer there, if it may be asked now.
-pub fn begin(state: &Rc<State>, from: SocketAddr) {
+pub fn start(state: &Rc<State>, from: SocketAddr) {
     let fetches = state.fetches.borrow();
-    let may_begin = fetches.may_begin(from, state.knows_all(), state.now());
+    let may_start = fetches.may_start(from, state.knows_all(), state.now());
     drop(fetches);
-    if may_begin {
+    if may_start {
         let running = Running::begin(state, from);
         actix_rt::spawn(async move { fetch_one(&running.state, from).await });
     }
@@ -129,7 +129,7 @@
 
 async fn fetch_one(state: &State, from: SocketAddr) {
     let asked = state.now();
-    let question = Fetch {
+    let question = FetchRequest {
         plan: state.force.borrow().version(),
         endpoints: state.roster.borrow().revision(),
         evacuation: state.evacuation.borrow().revision(),
@@ -147,7 +147,7 @@
             return;
         }
     };
-    let knows = fetched.knows;
+    let knows = fetched.knowledge;
     if let Some(evacuation) = fetched.evacuation {
         follow::take_evacuations(state, Evacuations::All(evacuation), "entry");
     }
@@ -164,7 +164,11 @@
     }
 }
 
-async fn ask(from: SocketAddr, question: Fetch, came: impl Fn()) -> io::Result<Fetched> {
+async fn ask(
+    from: SocketAddr,
+    question: FetchRequest,
+    came: impl Fn(),
+) -> io::Result<FetchResponse> {
     let mut stream = in_time(TcpStream::connect(from)).await?;
     write(&mut stream, &question).await?;
     read(&mut stream, came).await
@@ -188,7 +192,7 @@
 async fn answer(state: Rc<State>, mut stream: TcpStream) {
     let limit = Duration::from_millis(LONGEST.0);
     let answering = async {
-        let question: Fetch = read(&mut stream, || {}).await?;
+        let question: FetchRequest = read(&mut stream, || {}).await?;
         let (newer, _sending) = newer(&state, question);
         write(&mut stream, &newer).await
     };
@@ -200,16 +204,16 @@
 }
 
 /// What is newer than an entry has told, and what is held for as long as that is sent.
-fn newer(state: &Rc<State>, question: Fetch) -> (Fetched, Option<Sending>) {
-    let knows = knowledge(state);
+fn newer(state: &Rc<State>, question: FetchRequest) -> (FetchResponse, Option<Sending>) {
+    let knowledge = knowledge(state);
     let force = state.force.borrow();
     let has_newer = force.version() > question.plan;
     let plan = force.table().filter(|_| has_newer);
     let (endpoints, sending) = lacking(state, question.endpoints);
     let evacuation = state.evacuation.borrow();
     let has_newer = evacuation.revision() > question.evacuation;
-    let newer = Fetched {
-        knows,
+    let newer = FetchResponse {
+        knowledge,
         plan: plan.map(|table| table.plan().clone()),
         endpoints,
         evacuation: has_newer.then(|| evacuation.clone()),
--- a/crates/relay/src/gossip/message.rs
+++ b/crates/relay/src/gossip/message.rs
@@ -18,17 +18,17 @@
 /// The first byte of a message that only tells counts.
 const COUNTS_FORM: u8 = FORM | 0x80;
 /// The largest datagram, in bytes: what passes every link whole.
-pub const MOST_BYTES: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The most endpoints whose load one message tells of.
-pub const MOST_SHARES: usize = 48;
+pub const MAX_LOADS: usize = 48;
 /// The most requests that one message tells of, as endpoints crashed with them: 25 bytes for one
 /// with one crash, 37 with three.
-pub const MOST_SUSPECTS: usize = 12;
+pub const MAX_SUSPECTS: usize = 12;
 /// How many other entries a message tells of, unless it answers one that has just started.
-pub const USUALLY_TOLD: usize = 1;
+pub const MEMBERS_PER_MESSAGE: usize = 1;
 
 /// The number of a message that asks and answers nothing: its sender stops, and tells no load.
-pub const FAREWELL: u64 = 0;
+pub const STOP_NOTICE: u64 = 0;
 
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,15 +40,15 @@
     /// The sender.
     pub from: Member,
     /// What the sender knows.
-    pub knows: Knowledge,
+    pub knowledge: Knowledge,
     /// How many other entries the sender knows.
-    pub known: usize,
+    pub known_entries: usize,
     /// Some of these.
-    pub told: Vec<Member>,
+    pub members: Vec<Member>,
     /// The sender's load.
-    pub tidings: LoadReport,
+    pub load: LoadReport,
     /// How long connections to endpoints may rest, as the sender has found out.
-    pub rests: Vec<rest::IdleLimit>,
+    pub idle_limits: Vec<rest::IdleLimit>,
     /// Requests that endpoints crashed with.
     pub suspects: Vec<quarantine::Told>,
     /// The sender's time of day, in ms since the Unix epoch.
@@ -65,7 +65,7 @@
     /// Its life.
     pub incarnation: name::Incarnation,
     /// What it has counted.
-    pub told: usage::WindowCounts,
+    pub window_counts: usage::WindowCounts,
 }
 
 /// What an entry knows, and how old the confirmation of it is.
@@ -87,7 +87,7 @@
 
 /// Asks for what is newer, over TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fetch {
+pub struct FetchRequest {
     /// The version of the plan that the asker has.
     pub plan: u64,
     /// The revision of the endpoints that the asker has.
@@ -98,9 +98,9 @@
 
 /// What is newer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fetched {
+pub struct FetchResponse {
     /// What the answering entry knows.
-    pub knows: Knowledge,
+    pub knowledge: Knowledge,
     /// The plan, if it is newer.
     pub plan: Option<Plan>,
     /// The endpoints, if the list is newer.
@@ -134,10 +134,10 @@
 /// # Errors
 ///
 /// If a field can't be written.
-pub fn fill(message: &mut Message, members: &[&Member]) -> Result<(), postcard::Error> {
+pub fn add_members(message: &mut Message, members: &[&Member]) -> Result<(), postcard::Error> {
     let count = fitting(message, members)?;
     let told = members.iter().take(count);
-    message.told.extend(told.map(|member| (*member).clone()));
+    message.members.extend(told.map(|member| (*member).clone()));
     Ok(())
 }
 
@@ -146,7 +146,7 @@
 /// # Errors
 ///
 /// If a field can't be written.
-pub fn accuse(
+pub fn add_suspects(
     message: &mut Message,
     mut suspects: Vec<quarantine::Told>,
 ) -> Result<(), postcard::Error> {
@@ -162,7 +162,7 @@
     for (count, item) in items.iter().enumerate() {
         bytes += postcard::to_stdvec(item)?.len();
         // The number of items takes a second byte from 128 on.
-        if bytes >= MOST_BYTES {
+        if bytes >= MAX_DATAGRAM_BYTES {
             return Ok(count);
         }
     }
@@ -177,14 +177,14 @@
 pub fn encode_counts(counts: &Counts) -> Result<Vec<Vec<u8>>, postcard::Error> {
     let mut bytes = vec![COUNTS_FORM];
     bytes.extend(postcard::to_stdvec(counts)?);
-    if bytes.len() <= MOST_BYTES || counts.told.counts.len() < 2 {
+    if bytes.len() <= MAX_DATAGRAM_BYTES || counts.window_counts.counts.len() < 2 {
         return Ok(vec![bytes]);
     }
-    let half = counts.told.counts.len() / 2;
-    let (one, other) = counts.told.counts.split_at(half);
+    let half = counts.window_counts.counts.len() / 2;
+    let (one, other) = counts.window_counts.counts.split_at(half);
     let part = |part: &[(name::Workspace, u64)]| Counts {
-        told: usage::WindowCounts {
-            window: counts.told.window,
+        window_counts: usage::WindowCounts {
+            window: counts.window_counts.window,
             counts: part.to_vec(),
         },
         ..counts.clone()
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -8,7 +8,7 @@
 use woodgap_relay::dialect::own::Own as Dialect;
 use woodgap_relay::duties;
 use woodgap_relay::duties::own::Own as Outlet;
-use woodgap_relay::source::own::Own as Source;
+use woodgap_relay::source::table::TableSource as Source;
 use woodgap_relay::start::{self, Error, Form};
 use woodgap_settings::relay::{self, Relay};
 
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -11,7 +11,7 @@
 use woodgap_core::quarantine::{Kept, Told};
 
 use crate::follow::usable;
-use crate::source::row::Faults;
+use crate::source::row::UnusableRows;
 use crate::source::{Error, row};
 use crate::start::ANNOUNCED;
 use crate::state::State;
@@ -23,7 +23,7 @@
 
 /// Reads once what is kept, and has the platform keep what this entry finds out.
 pub async fn run(state: Rc<State>) {
-    let mut faults = Faults::new("withheld requests");
+    let mut faults = UnusableRows::new("withheld requests");
     while !state.has_read_withheld.get() {
         let mut pause = FIRST_LOOK;
         if is_reader(&state)
@@ -51,8 +51,8 @@
 }
 
 /// Takes in what is kept, and drops what is long over. A few entries do so, which tell the others.
-async fn read(state: &State, faults: &mut Faults) -> Result<(), Error> {
-    let rows: Vec<row::Row<Kept>> = state.source.kept().await?;
+async fn read(state: &State, faults: &mut UnusableRows) -> Result<(), Error> {
+    let rows: Vec<row::Row<Kept>> = state.source.list_withheld().await?;
     faults.replace(&rows, &state.metrics);
     let now = state.clock.unix();
     let kept = rows.into_iter().filter_map(usable);
@@ -84,8 +84,11 @@
 async fn write_one(state: &State, request: Fingerprint) -> Result<(), Error> {
     let told = state.quarantine.borrow().of_held(request, state.now());
     let Some(told) = told else {
-        return state.source.forget(request).await;
+        return state.source.delete_withheld(request).await;
     };
     let written_unix = state.clock.unix();
-    state.source.keep(&Kept { told, written_unix }).await
+    state
+        .source
+        .save_withheld(&Kept { told, written_unix })
+        .await
 }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -1,11 +1,11 @@
 //! Where the configuration, the endpoints and the other entries are learnt from.
 //!
-//! [`own::Own`] reads them from the product's table service; a deployment on
+//! [`table::TableSource`] reads them from the product's table service; a deployment on
 //! another platform brings a source of its own. A source asks and decodes, and
 //! decides nothing: when to ask again is up to [`crate::follow`].
 
-pub mod own;
 pub mod row;
+pub mod table;
 
 use std::net::SocketAddr;
 
@@ -23,14 +23,14 @@
 
 /// What an answer of the source brought.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News<T> {
+pub struct Update<T> {
     /// Ask for what comes after this next time.
     pub cursor: u64,
     /// What is new; none if nothing changed.
     pub content: Option<T>,
     /// When the answer was made, on a steady clock of the source's; none where the
     /// source does not tell.
-    pub made: Option<Millis>,
+    pub produced_at: Option<Millis>,
 }
 
 /// Endpoints that are new, changed or gone.
@@ -53,7 +53,7 @@
     HistoryGone,
     /// What it holds can't be understood.
     #[error("not understood: {0}")]
-    NotUnderstood(String),
+    Malformed(String),
 }
 
 /// The configurations that an answer brought, the newest last.
@@ -61,16 +61,16 @@
 
 /// What operators say.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operators {
+pub struct OperatorUpdate {
     /// The configurations that are new.
     pub plans: Plans,
     /// The data centres that they empty; none where nothing is told of them.
     pub evacuations: Option<Evacuations>,
 }
 
-impl Operators {
+impl OperatorUpdate {
     /// What is said, if anything is.
-    pub fn news(self) -> Option<Self> {
+    pub fn non_empty(self) -> Option<Self> {
         let has_news = !self.plans.is_empty() || self.evacuations.is_some();
         has_news.then_some(self)
     }
@@ -93,10 +93,10 @@
     /// The configuration, as often as it changed after the cursor; the newest without one.
     /// The data centres that are evacuated, in the same way. With a cursor, the answer may be
     /// held for `wait` while nothing changes.
-    fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, News<Operators>>;
+    fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<OperatorUpdate>>;
 
     /// The endpoints, in the same way.
-    fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, News<Endpoints>>;
+    fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<Endpoints>>;
 
     /// Tells where this entry takes messages of others.
     fn announce<'a>(&'a self, entry: &'a name::Entry, address: SocketAddr) -> Answer<'a, ()>;
@@ -108,13 +108,13 @@
     fn entries(&self) -> Answer<'_, Addresses>;
 
     /// Keeps what is known of a request that is withheld.
-    fn keep<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()>;
+    fn save_withheld<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()>;
 
     /// Takes that back.
-    fn forget(&self, request: Fingerprint) -> Answer<'_, ()>;
+    fn delete_withheld(&self, request: Fingerprint) -> Answer<'_, ()>;
 
     /// What all entries keep of requests that are withheld.
-    fn kept(&self) -> Answer<'_, Vec<Row<Kept>>>;
+    fn list_withheld(&self) -> Answer<'_, Vec<Row<Kept>>>;
 }
 
 /// An answer to come.
--- a/crates/relay/src/source/row.rs
+++ b/crates/relay/src/source/row.rs
@@ -43,20 +43,20 @@
     /// Something that can be used.
     Usable(T),
     /// Something else.
-    Unusable(Unusable),
+    Unusable(RowError),
     /// Nothing: it was removed.
     Removed,
 }
 
 /// Why a row can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unusable {
+pub enum RowError {
     /// Its value is not encoded as the source's rows are.
     #[error("not encoded as rows are: {0}")]
     Encoding(String),
     /// Its value is no JSON, or lacks a field, or has one of another type or range.
     #[error("not understood: {0}")]
-    Form(String),
+    Format(String),
     /// Its value is too long; the length is in bytes.
     #[error("{0} bytes are too long")]
     Size(usize),
@@ -65,7 +65,7 @@
     Name(String),
     /// It names something else than its key.
     #[error("it names something else: `{0}`")]
-    Stranger(String),
+    KeyMismatch(String),
     /// Nothing can be connected to at the address.
     #[error("nothing can be connected to at {0}")]
     Address(SocketAddr),
@@ -84,22 +84,22 @@
     /// # Errors
     ///
     /// Why it can't.
-    fn check(&self, key: &str) -> Result<(), Unusable>;
+    fn check(&self, key: &str) -> Result<(), RowError>;
 }
 
 impl Check for Endpoint {
     const MOST_BYTES: usize = MOST_BYTES;
 
-    fn check(&self, key: &str) -> Result<(), Unusable> {
+    fn check(&self, key: &str) -> Result<(), RowError> {
         check_name(key)?;
         for text in [&self.service, self.data_centre.as_str()] {
             check_length(text)?;
         }
         if self.life.id.as_str() != key {
-            return Err(Unusable::Stranger(self.life.id.to_string()));
+            return Err(RowError::KeyMismatch(self.life.id.to_string()));
         }
         if self.slots > MOST_SLOTS {
-            return Err(Unusable::Slots(self.slots));
+            return Err(RowError::Slots(self.slots));
         }
         check_address(self.address)
     }
@@ -108,7 +108,7 @@
 impl Check for SocketAddr {
     const MOST_BYTES: usize = MOST_BYTES;
 
-    fn check(&self, key: &str) -> Result<(), Unusable> {
+    fn check(&self, key: &str) -> Result<(), RowError> {
         check_name(key)?;
         check_address(*self)
     }
@@ -117,12 +117,14 @@
 impl Check for Kept {
     const MOST_BYTES: usize = MOST_BYTES;
 
-    fn check(&self, key: &str) -> Result<(), Unusable> {
+    fn check(&self, key: &str) -> Result<(), RowError> {
         if self.told.request.to_string() != key {
-            return Err(Unusable::Stranger(self.told.request.to_string()));
+            return Err(RowError::KeyMismatch(self.told.request.to_string()));
         }
         if !self.is_sound() {
-            return Err(Unusable::Form("crashes that are not remembered".to_owned()));
+            return Err(RowError::Format(
+                "crashes that are not remembered".to_owned(),
+            ));
         }
         Ok(())
     }
@@ -132,39 +134,39 @@
     // Only the source bounds it; whether it is sound is seen where it comes in force.
     const MOST_BYTES: usize = usize::MAX;
 
-    fn check(&self, _: &str) -> Result<(), Unusable> {
+    fn check(&self, _: &str) -> Result<(), RowError> {
         Ok(())
     }
 }
 
-fn check_name(text: &str) -> Result<(), Unusable> {
+fn check_name(text: &str) -> Result<(), RowError> {
     let is_name = !text.is_empty() && text.len() <= MOST_NAME && text.trim() == text;
     if is_name && HeaderValue::from_str(text).is_ok() {
         return Ok(());
     }
-    Err(Unusable::Name(text.to_owned()))
+    Err(RowError::Name(text.to_owned()))
 }
 
 /// Names that are never sent may be any short text.
-fn check_length(text: &str) -> Result<(), Unusable> {
+fn check_length(text: &str) -> Result<(), RowError> {
     if text.len() > MOST_NAME {
-        return Err(Unusable::Name(text.to_owned()));
+        return Err(RowError::Name(text.to_owned()));
     }
     Ok(())
 }
 
-fn check_address(address: SocketAddr) -> Result<(), Unusable> {
+fn check_address(address: SocketAddr) -> Result<(), RowError> {
     let ip = address.ip().to_canonical();
     let is_broadcast = ip == std::net::Ipv4Addr::BROADCAST;
     if address.port() == 0 || ip.is_unspecified() || ip.is_multicast() || is_broadcast {
-        return Err(Unusable::Address(address));
+        return Err(RowError::Address(address));
     }
     Ok(())
 }
 
 impl<T: Check> Row<T> {
     /// A row that holds this, if it can be used.
-    pub fn new(key: &str, version: u64, value: Result<T, Unusable>) -> Self {
+    pub fn new(key: &str, version: u64, value: Result<T, RowError>) -> Self {
         let checked = value.and_then(|value| value.check(key).map(|()| value));
         let content = checked.map_or_else(Content::Unusable, Content::Usable);
         Self {
@@ -187,19 +189,19 @@
     pub fn decode<F: DeserializeOwned>(
         key: &str,
         version: u64,
-        bytes: Result<Vec<u8>, Unusable>,
+        bytes: Result<Vec<u8>, RowError>,
         form: impl FnOnce(F) -> T,
     ) -> Self {
         let value = bytes.and_then(|bytes| {
             if bytes.len() > T::MOST_BYTES {
-                return Err(Unusable::Size(bytes.len()));
+                return Err(RowError::Size(bytes.len()));
             }
             // The decoder would take a list for the values of a form without their names.
             if bytes.trim_ascii_start().starts_with(b"[") {
-                return Err(Unusable::Form("a list".to_owned()));
+                return Err(RowError::Format("a list".to_owned()));
             }
             let value = serde_json::from_slice(&bytes);
-            value.map_err(|error| Unusable::Form(error.to_string()))
+            value.map_err(|error| RowError::Format(error.to_string()))
         });
         Self::new(key, version, value.map(form))
     }
@@ -207,12 +209,12 @@
 
 /// The rows of one table that can't be used, each told once until it is sound again.
 #[derive(Debug)]
-pub struct Faults {
+pub struct UnusableRows {
     what: &'static str,
     keys: HashSet<String>,
 }
 
-impl Faults {
+impl UnusableRows {
     /// None yet, in the table of these things.
     pub fn new(what: &'static str) -> Self {
         Self {
@@ -225,11 +227,11 @@
     pub fn replace<T>(&mut self, rows: &[Row<T>], metrics: &Metrics) {
         let there: HashSet<_> = rows.iter().map(|row| row.key.as_str()).collect();
         self.keys.retain(|key| there.contains(key.as_str()));
-        self.note(rows, metrics);
+        self.record(rows, metrics);
     }
 
     /// Takes changes of the table, and tells of rows that have become unusable.
-    pub fn note<T>(&mut self, rows: &[Row<T>], metrics: &Metrics) {
+    pub fn record<T>(&mut self, rows: &[Row<T>], metrics: &Metrics) {
         let mut news = Vec::new();
         for row in rows {
             match &row.content {
@@ -247,7 +249,7 @@
         self.tell(&news);
     }
 
-    fn tell(&self, news: &[(&str, u64, &Unusable)]) {
+    fn tell(&self, news: &[(&str, u64, &RowError)]) {
         if news.len() > MOST_LINES {
             log::warn!(what = self.what, rows = news.len(); "many rows can't be used");
             return;
--- a/crates/relay/src/source/own.rs
+++ b/crates/relay/src/source/table.rs
@@ -22,8 +22,10 @@
 use woodgap_platform::http::Platform;
 use woodgap_platform::table::{Place, Row, Scan, Table, Transaction};
 
-use crate::source::row::{self as source, Check, Unusable};
-use crate::source::{Addresses, Answer, Endpoints, Error, Evacuations, News, Operators, Source};
+use crate::source::row::{self as source, Check, RowError};
+use crate::source::{
+    Addresses, Answer, Endpoints, Error, Evacuations, OperatorUpdate, Source, Update,
+};
 
 const PLANS: &str = "relay";
 const PLAN: &str = "plan";
@@ -33,13 +35,13 @@
 const WITHHELD: &str = "relay-withheld";
 
 /// The product's own source.
-pub struct Own {
+pub struct TableSource {
     platform: Platform,
     /// The pause before a row is read again, since the table service has no feed.
     poll: Millis,
 }
 
-impl Own {
+impl TableSource {
     /// A source on this platform.
     pub fn new(platform: Platform, poll: Millis) -> Self {
         Self { platform, poll }
@@ -52,7 +54,11 @@
         }
     }
 
-    async fn read_plan(&self, after: Option<u64>, wait: Millis) -> Result<News<Operators>, Error> {
+    async fn read_plan(
+        &self,
+        after: Option<u64>,
+        wait: Millis,
+    ) -> Result<Update<OperatorUpdate>, Error> {
         self.pause(after, wait).await;
         let places = [PLAN, EVACUATION].map(|key| Place::new(PLANS, key));
         let rows = self.platform.read(&places).await.map_err(unavailable)?;
@@ -60,14 +66,14 @@
         let (plan, evacuation) = (rows.next().flatten(), rows.next().flatten());
         let cursor = plan.as_ref().map_or(0, |row| row.version);
         let plan = plan.filter(|row| after != Some(row.version));
-        let operators = Operators {
+        let operators = OperatorUpdate {
             plans: plan.iter().map(decoded).collect(),
             evacuations: evacuation.as_ref().and_then(evacuated),
         };
-        Ok(News {
+        Ok(Update {
             cursor,
-            content: operators.news(),
-            made: None,
+            content: operators.non_empty(),
+            produced_at: None,
         })
     }
 
@@ -75,14 +81,14 @@
         &self,
         after: Option<u64>,
         wait: Millis,
-    ) -> Result<News<Endpoints>, Error> {
+    ) -> Result<Update<Endpoints>, Error> {
         self.pause(after, wait).await;
         let endpoints = self.rows(ENDPOINTS).await?;
         let cursor = endpoints.iter().map(|row| row.version).max().unwrap_or(0);
-        Ok(News {
+        Ok(Update {
             cursor,
             content: Some(Endpoints::All(endpoints)),
-            made: None,
+            produced_at: None,
         })
     }
 
@@ -165,16 +171,16 @@
 
 fn decoded<T: Check + DeserializeOwned>(row: &Row) -> source::Row<T> {
     let bytes = serde_json::to_vec(&row.value);
-    let bytes = bytes.map_err(|error| Unusable::Encoding(error.to_string()));
+    let bytes = bytes.map_err(|error| RowError::Encoding(error.to_string()));
     source::Row::decode(&row.key, row.version, bytes, |value| value)
 }
 
-impl Source for Own {
-    fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, News<Operators>> {
+impl Source for TableSource {
+    fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<OperatorUpdate>> {
         self.read_plan(after, wait).boxed_local()
     }
 
-    fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, News<Endpoints>> {
+    fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<Endpoints>> {
         self.read_endpoints(after, wait).boxed_local()
     }
 
@@ -193,22 +199,22 @@
         self.read_entries().boxed_local()
     }
 
-    fn keep<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()> {
+    fn save_withheld<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()> {
         async move {
             let value = serde_json::to_value(kept);
-            let value = value.map_err(|error| Error::NotUnderstood(error.to_string()))?;
+            let value = value.map_err(|error| Error::Malformed(error.to_string()))?;
             let place = Place::new(WITHHELD, &kept.told.request.to_string());
             self.write(place, Some(value)).await
         }
         .boxed_local()
     }
 
-    fn forget(&self, request: Fingerprint) -> Answer<'_, ()> {
+    fn delete_withheld(&self, request: Fingerprint) -> Answer<'_, ()> {
         let place = Place::new(WITHHELD, &request.to_string());
         self.write(place, None).boxed_local()
     }
 
-    fn kept(&self) -> Answer<'_, Vec<source::Row<Kept>>> {
+    fn list_withheld(&self) -> Answer<'_, Vec<source::Row<Kept>>> {
         self.rows(WITHHELD).boxed_local()
     }
 }
--- a/crates/relay/src/start.rs
+++ b/crates/relay/src/start.rs
@@ -20,7 +20,7 @@
 use crate::gossip::{exchange, fetch};
 use crate::metrics::Metrics;
 use crate::source::Source;
-use crate::source::row::Faults;
+use crate::source::row::UnusableRows;
 use crate::state::{Announcement, State};
 use crate::{duties, follow, logs, quarantine, stop, upkeep};
 
@@ -190,7 +190,7 @@
 /// Tells the platform of this entry, and asks it for others while none answers.
 async fn announce(state: Rc<State>) {
     let settings = &state.settings;
-    let mut faults = Faults::new("entries");
+    let mut faults = UnusableRows::new("entries");
     loop {
         tokio::time::sleep(Duration::from_millis(ANNOUNCE.0)).await;
         let standing = state.standing();
@@ -211,7 +211,7 @@
     }
 }
 
-async fn ask_for_others(state: &Rc<State>, faults: &mut Faults) {
+async fn ask_for_others(state: &Rc<State>, faults: &mut UnusableRows) {
     match state.source.entries().await {
         Ok(entries) => {
             faults.replace(&entries, &state.metrics);
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -171,7 +171,7 @@
             fleet: RefCell::new(Fleet::new(
                 settings.name.clone(),
                 settings.data_centre.clone(),
-                gossip::ROUND,
+                gossip::ROUND_INTERVAL,
             )),
             hints: RefCell::default(),
             metrics,
--- a/crates/relay/tests/contract/leave.rs
+++ b/crates/relay/tests/contract/leave.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, UdpSocket};
 
-use woodgap_relay::gossip::message::{self, MOST_BYTES, Message};
+use woodgap_relay::gossip::message::{self, MAX_DATAGRAM_BYTES, Message};
 
 use crate::peer::{self, IGNORANT};
 use crate::site::{Site, until};
@@ -42,7 +42,7 @@
 }
 
 fn received(socket: &UdpSocket) -> Vec<Message> {
-    let mut bytes = [0; MOST_BYTES];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     std::iter::from_fn(|| {
         socket
             .recv(&mut bytes)
--- a/crates/relay/tests/contract/messages.rs
+++ b/crates/relay/tests/contract/messages.rs
@@ -14,7 +14,7 @@
 use woodgap_core::relay::usage::Window;
 use woodgap_core::relay::work::Work;
 use woodgap_relay::gossip::message::{
-    self, Knowledge, Listed, MOST_BYTES, MOST_SHARES, MOST_SUSPECTS, Message,
+    self, Knowledge, Listed, MAX_DATAGRAM_BYTES, MAX_LOADS, MAX_SUSPECTS, Message,
 };
 
 use crate::peer::{IGNORANT, question};
@@ -89,13 +89,13 @@
 #[case::some_services(4, 30)]
 #[case::all_models_of_a_large_site(22, 10)]
 fn a_message_fits_into_a_datagram(#[case] services: usize, #[case] engines: usize) {
-    let tidings = busy(services, engines).gossip(MOST_SHARES, Millis(18_000));
-    assert!(!tidings.endpoints.is_empty() && !tidings.services.is_empty());
+    let load = busy(services, engines).gossip(MAX_LOADS, Millis(18_000));
+    assert!(!load.endpoints.is_empty() && !load.services.is_empty());
     let message = Message {
         number: u64::MAX,
         is_answer: true,
         from: member(1),
-        knows: Knowledge {
+        knowledge: Knowledge {
             plan: u64::MAX,
             plan_age: Millis(u64::MAX),
             endpoints: u64::MAX,
@@ -103,16 +103,16 @@
             evacuation: u64::MAX,
             withheld: true,
         },
-        known: usize::MAX,
-        told: vec![member(2)],
-        tidings,
-        rests: Vec::new(),
+        known_entries: usize::MAX,
+        members: vec![member(2)],
+        load,
+        idle_limits: Vec::new(),
         suspects: Vec::new(),
         unix: Millis(u64::MAX),
         claim: Some(claim()),
     };
     let bytes = message::encode(&message).unwrap();
-    assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
     assert_eq!(message::decode(&bytes), Some(message));
 }
 
@@ -123,7 +123,7 @@
         number: 1,
         is_answer: true,
         from: member(1),
-        knows: Knowledge {
+        knowledge: Knowledge {
             plan: 1,
             plan_age: Millis(0),
             endpoints: 1,
@@ -131,20 +131,20 @@
             evacuation: 1,
             withheld: true,
         },
-        known: 300,
-        told: Vec::new(),
-        tidings: busy(1, 20).gossip(MOST_SHARES, Millis(18_000)),
-        rests: Vec::new(),
+        known_entries: 300,
+        members: Vec::new(),
+        load: busy(1, 20).gossip(MAX_LOADS, Millis(18_000)),
+        idle_limits: Vec::new(),
         suspects: Vec::new(),
         unix: Millis(1),
         claim: None,
     };
     let members: Vec<_> = (0..300).map(member).collect();
     let members: Vec<_> = members.iter().collect();
-    message::fill(&mut message, &members).unwrap();
+    message::add_members(&mut message, &members).unwrap();
     let bytes = message::encode(&message).unwrap();
-    assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
-    assert!(message.told.len() >= 5, "{} told", message.told.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
+    assert!(message.members.len() >= 5, "{} told", message.members.len());
     assert_eq!(message::decode(&bytes), Some(message));
 }
 
@@ -175,7 +175,7 @@
     #[case] least: usize,
 ) {
     let mut message = question("e-1", "127.0.0.1:1".parse().unwrap(), IGNORANT);
-    message.tidings = busy(services, engines).gossip(MOST_SHARES, Millis(18_000));
+    message.load = busy(services, engines).gossip(MAX_LOADS, Millis(18_000));
     let mut quarantine = Quarantine::default();
     for number in 0_u32..40 {
         let request = fingerprint::Request {
@@ -197,10 +197,10 @@
             quarantine.crashed(Fingerprint::of(&request), crash, at);
         }
     }
-    let suspects = quarantine.tell(MOST_SUSPECTS, Millis(4_000));
-    message::accuse(&mut message, suspects).unwrap();
+    let suspects = quarantine.tell(MAX_SUSPECTS, Millis(4_000));
+    message::add_suspects(&mut message, suspects).unwrap();
     let bytes = message::encode(&message).unwrap();
-    assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
     assert!(
         message.suspects.len() >= least,
         "{} told",
--- a/crates/relay/tests/contract/peer.rs
+++ b/crates/relay/tests/contract/peer.rs
@@ -19,7 +19,7 @@
 };
 
 /// A question of an entry at this address that knows so much.
-pub fn question(name: &str, address: SocketAddr, knows: Knowledge) -> Message {
+pub fn question(name: &str, address: SocketAddr, knowledge: Knowledge) -> Message {
     Message {
         number: 1,
         is_answer: false,
@@ -33,11 +33,11 @@
             ready: true,
             reaches_platform: true,
         },
-        knows,
-        known: 0,
-        told: Vec::new(),
-        tidings: LoadReport::default(),
-        rests: Vec::new(),
+        knowledge,
+        known_entries: 0,
+        members: Vec::new(),
+        load: LoadReport::default(),
+        idle_limits: Vec::new(),
         suspects: Vec::new(),
         unix: Millis(1_600_000_000_000),
         claim: None,
--- a/crates/relay/tests/contract/rows.rs
+++ b/crates/relay/tests/contract/rows.rs
@@ -12,8 +12,8 @@
 use woodgap_platform::table::{Place, Scan, Table, Transaction};
 use woodgap_relay::follow::usable;
 use woodgap_relay::metrics::Metrics;
-use woodgap_relay::source::own::Own;
-use woodgap_relay::source::row::{Content, Faults, Row, Unusable};
+use woodgap_relay::source::row::{Content, Row, RowError, UnusableRows};
+use woodgap_relay::source::table::TableSource;
 use woodgap_relay::source::{Endpoints, Source};
 
 use crate::site::endpoint;
@@ -35,7 +35,7 @@
     let row = read("i-1", value.to_string().as_bytes());
     assert!(matches!(
         row.content,
-        Content::Unusable(Unusable::Address(_))
+        Content::Unusable(RowError::Address(_))
     ));
 }
 
@@ -65,7 +65,7 @@
     let mut value = value("10.0.0.1:80");
     value["name"] = json!(key);
     let row = read(key, value.to_string().as_bytes());
-    assert!(matches!(row.content, Content::Unusable(Unusable::Name(_))));
+    assert!(matches!(row.content, Content::Unusable(RowError::Name(_))));
 }
 
 proptest! {
@@ -81,9 +81,9 @@
         let value = value("10.0.0.1:80").to_string();
         rows.insert(sound.min(rows.len()), read("i-1", value.as_bytes()));
         let metrics = Metrics::new().unwrap();
-        let mut faults = Faults::new("endpoints");
+        let mut faults = UnusableRows::new("endpoints");
         faults.replace(&rows, &metrics);
-        faults.note(&rows, &metrics);
+        faults.record(&rows, &metrics);
         let told = metrics.unusable_rows.with_label_values(&["endpoints"]).get();
         prop_assert_eq!(told, others.len() as u64);
         let used: Vec<_> = rows.into_iter().filter_map(usable).collect();
@@ -92,7 +92,7 @@
     }
 }
 
-fn remembered(faults: &Faults) -> usize {
+fn remembered(faults: &UnusableRows) -> usize {
     format!("{faults:?}").len()
 }
 
@@ -104,20 +104,20 @@
     const MOST_KEY: usize = 16;
     let broken = json!("v".repeat(1_000)).to_string();
     let metrics = Metrics::new().unwrap();
-    let mut faults = Faults::new("endpoints");
+    let mut faults = UnusableRows::new("endpoints");
     let empty = remembered(&faults);
     for round in 0..3 {
         let keys = (0..ROWS).map(|at| format!("{round}-{at}"));
         let rows: Vec<_> = keys.map(|key| read(&key, broken.as_bytes())).collect();
         faults.replace(&rows, &metrics);
-        faults.note(&rows, &metrics);
+        faults.record(&rows, &metrics);
         assert!(remembered(&faults) < empty + ROWS * MOST_KEY);
         let removed = rows.into_iter().map(|row| Row::<Endpoint> {
             content: Content::Removed,
             ..row
         });
         let (removed, half) = (removed.collect::<Vec<_>>(), ROWS / 2);
-        faults.note(&removed[..half], &metrics);
+        faults.record(&removed[..half], &metrics);
         assert!(remembered(&faults) < empty + half * MOST_KEY);
     }
     faults.replace::<Endpoint>(&[], &metrics);
@@ -139,7 +139,7 @@
         let transaction = Transaction::default().put(place, value);
         writer.transact(&transaction).await.unwrap();
     }
-    let own = Own::new(client(), Millis(10));
+    let own = TableSource::new(client(), Millis(10));
     let news = own.endpoints(None, Millis(0)).await.unwrap();
     let Some(Endpoints::All(rows)) = news.content else {
         panic!("no list")
@@ -160,7 +160,7 @@
     });
     let transaction = transaction.put(place("i-1"), value("10.0.0.1:80"));
     client().transact(&transaction).await.unwrap();
-    let own = Own::new(client(), Millis(10));
+    let own = TableSource::new(client(), Millis(10));
     let news = own.endpoints(None, Millis(0)).await.unwrap();
     let Some(Endpoints::All(rows)) = news.content else {
         panic!("no list")
--- a/crates/relay/tests/contract/silent_tellers.rs
+++ b/crates/relay/tests/contract/silent_tellers.rs
@@ -9,7 +9,7 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::relay::roster::{self, Change};
 use woodgap_relay::gossip::message::{
-    self, FORM, Fetch, Fetched, Knowledge, Listed, MOST_BYTES, Message,
+    self, FORM, FetchRequest, FetchResponse, Knowledge, Listed, MAX_DATAGRAM_BYTES, Message,
 };
 
 use crate::endpoint::{Endpoint, whole};
@@ -82,12 +82,13 @@
 
     /// Takes in what the relay says, and answers its questions if it is to.
     fn hear(&self, relay: SocketAddr, answers: bool) {
-        let mut bytes = [0; MOST_BYTES];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while let Ok(length) = self.socket.recv(&mut bytes) {
             let Some(heard) = message::decode(&bytes[..length]) else {
                 continue;
             };
-            self.heard.set(self.heard.get().max(heard.knows.endpoints));
+            self.heard
+                .set(self.heard.get().max(heard.knowledge.endpoints));
             if answers && !heard.is_answer {
                 self.send(&self.message(heard.number, true), relay);
             }
@@ -100,14 +101,14 @@
     }
 
     /// Gives the relay what it asks for, if it does.
-    fn serve(&self, fetched: &Fetched) {
+    fn serve(&self, fetched: &FetchResponse) {
         if let Some(mut stream) = self.question() {
             write(&mut stream, fetched);
         }
     }
 
     /// The same over a link on which it takes for long, but never stands still.
-    fn serve_slowly(&self, fetched: &Fetched) {
+    fn serve_slowly(&self, fetched: &FetchResponse) {
         let Some(mut stream) = self.question() else {
             return;
         };
@@ -159,7 +160,7 @@
 
 /// A relay that knows an endpoint and that its platform has left, and what another entry
 /// has to tell of that endpoint.
-fn scene() -> (Site, Endpoint, Fetched) {
+fn scene() -> (Site, Endpoint, FetchResponse) {
     let server = Endpoint::always(vec![whole("yes")]);
     let site = Site::with_trust("dub-a-1", "\"revoke_ms\": 30000", source(&[server.address]));
     site.until_ready();
@@ -169,8 +170,8 @@
         ..endpoint(0, server.address)
     };
     let changes = vec![(REVISION, Change::Listed(leaving))];
-    let fetched = Fetched {
-        knows: KNOWLEDGE,
+    let fetched = FetchResponse {
+        knowledge: KNOWLEDGE,
         plan: None,
         endpoints: Some(Listed::Changes(changes)),
         evacuation: None,
@@ -232,13 +233,13 @@
 }
 
 /// What an entry asks that has just started.
-const NOTHING: Fetch = Fetch {
+const NOTHING: FetchRequest = FetchRequest {
     plan: 0,
     endpoints: 0,
     evacuation: 0,
 };
 
-fn answer(stream: &mut TcpStream) -> Fetched {
+fn answer(stream: &mut TcpStream) -> FetchResponse {
     let mut head = [0; 5];
     stream.read_exact(&mut head).unwrap();
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]);
--- a/crates/relay/tests/contract/site.rs
+++ b/crates/relay/tests/contract/site.rs
@@ -22,7 +22,7 @@
 use woodgap_relay::duties;
 use woodgap_relay::source::row::Row;
 use woodgap_relay::source::{
-    Addresses, Answer, Endpoints, Error, Evacuations, News, Operators, Source,
+    Addresses, Answer, Endpoints, Error, Evacuations, OperatorUpdate, Source, Update,
 };
 use woodgap_relay::start::{self, Form};
 use woodgap_relay::stop;
@@ -78,7 +78,7 @@
 }
 
 impl Source for Fixed {
-    fn plan(&self, after: Option<u64>, _: Millis) -> Answer<'_, News<Operators>> {
+    fn plan(&self, after: Option<u64>, _: Millis) -> Answer<'_, Update<OperatorUpdate>> {
         async move {
             let cursor = self.told()?.plan.map_or(0, |plan| plan.version);
             pause(after, cursor).await;
@@ -86,22 +86,22 @@
             let cursor = told.plan.as_ref().map_or(0, |plan| plan.version);
             let plan = told.plan.filter(|_| after != Some(cursor));
             let plans = plan.map(|plan| Row::new("plan", cursor, Ok(plan)));
-            Ok(News {
+            Ok(Update {
                 cursor,
-                content: Some(Operators {
+                content: Some(OperatorUpdate {
                     plans: plans.into_iter().collect(),
                     evacuations: Some(Evacuations::All(told.evacuation)),
                 }),
-                made: None,
+                produced_at: None,
             })
         }
         .boxed_local()
     }
 
-    fn endpoints(&self, after: Option<u64>, _: Millis) -> Answer<'_, News<Endpoints>> {
+    fn endpoints(&self, after: Option<u64>, _: Millis) -> Answer<'_, Update<Endpoints>> {
         async move {
             pause(after, 1).await;
-            Ok(News {
+            Ok(Update {
                 cursor: 1,
                 content: Some(Endpoints::All(
                     self.told()?
@@ -110,7 +110,7 @@
                         .map(|it| Row::new(&it.life.id.to_string(), 1, Ok(it)))
                         .collect(),
                 )),
-                made: None,
+                produced_at: None,
             })
         }
         .boxed_local()
@@ -134,7 +134,7 @@
         async { Ok(()) }.boxed_local()
     }
 
-    fn keep<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()> {
+    fn save_withheld<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()> {
         async move {
             let shared = self.told()?.kept;
             let mut shared = shared.lock().unwrap();
@@ -144,7 +144,7 @@
         .boxed_local()
     }
 
-    fn forget(&self, request: Fingerprint) -> Answer<'_, ()> {
+    fn delete_withheld(&self, request: Fingerprint) -> Answer<'_, ()> {
         async move {
             self.told()?.kept.lock().unwrap().remove(&request);
             Ok(())
@@ -152,7 +152,7 @@
         .boxed_local()
     }
 
-    fn kept(&self) -> Answer<'_, Vec<Row<Kept>>> {
+    fn list_withheld(&self) -> Answer<'_, Vec<Row<Kept>>> {
         async move {
             let shared = self.told()?.kept;
             let shared = shared.lock().unwrap();
