--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -1,9 +1,9 @@
-//! Messages between entries: who is there, and what each knows.
+//! Gossip between entries: membership, and the versions of the data that each entry has.
 //!
-//! Entries ask one another in short rounds over UDP. An answer tells the versions
-//! that the other entry knows and how old their confirmation is. Counted from the
-//! moment at which the question was sent, that age is never too young, however
-//! long the answer took. What is newer is fetched over TCP.
+//! Entries query one another in short rounds over UDP. An answer carries the versions
+//! that the other entry has and the time since each was last confirmed as current. The
+//! receiver counts that age from the moment at which it sent the query, so network delay
+//! can't make a confirmation look fresher than it is. Newer data is fetched over TCP.
 
 pub mod exchange;
 pub mod fetch;
@@ -11,9 +11,9 @@
 
 use woodgap_core::clock::Millis;
 
-/// The time between two rounds: three missed ones take an entry off the lists
-/// that callers get, while these are kept for a second.
+/// The time between two rounds. An entry that misses three rounds is removed from the lists
+/// that callers get; these lists are kept for a second.
 pub const ROUND_INTERVAL: Millis = Millis(300);
-/// The time between two rounds of an entry that can't take requests yet: others may
-/// start at the same moment and miss its first question.
+/// The time between two rounds of an entry that can't accept requests yet. It is short because
+/// entries that start at the same moment may miss one another's first query.
 pub const STARTUP_ROUND_INTERVAL: Millis = Millis(50);
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -1,4 +1,4 @@
-//! The rounds of questions, and the answers to those of others.
+//! The gossip rounds: sends queries to other entries and answers theirs.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::error::Error;
@@ -20,31 +20,32 @@
 use crate::gossip::{ROUND_INTERVAL, STARTUP_ROUND_INTERVAL, fetch};
 use crate::state::State;
 
-/// After so long an answer is not waited for.
-const LATE: Millis = Millis(2_000);
-/// The time between two lines of the log on entries that answer.
-const SUMMARY: Millis = Millis(1_000);
-/// How often the own counts are told: what an entry that is killed has not told is lost.
-const COUNTS: Millis = Millis(500);
-/// How many entries one of these lines names.
-const MOST_NAMED: usize = 16;
+/// Answers that take longer than this are ignored.
+const ANSWER_TIMEOUT: Millis = Millis(2_000);
+/// The minimum time between two log summaries of entries that came or are shutting down.
+const SUMMARY_INTERVAL: Millis = Millis(1_000);
+/// The time between two sends of this entry's usage counts. Counts that were not sent before
+/// an entry is killed are lost.
+const COUNTS_INTERVAL: Millis = Millis(500);
+/// The maximum number of entries that one summary line names.
+const MAX_LOGGED_NAMES: usize = 16;
 
-/// Asks other entries, and answers them, for as long as the process runs.
+/// Runs gossip rounds and answers other entries for as long as the process runs.
 ///
 /// # Errors
 ///
-/// If the socket can't be used any more.
+/// If receiving from the socket fails.
 pub async fn run(state: Rc<State>, socket: Rc<UdpSocket>) -> io::Result<()> {
     let mut exchange = Exchange {
         state: Rc::clone(&state),
         socket,
-        asked: HashMap::new(),
-        next: rand::random(),
-        told_last: None,
-        introduced: BTreeMap::new(),
-        newcomers: 0,
+        sent_queries: HashMap::new(),
+        next_number: rand::random(),
+        last_described: None,
+        last_introduced: BTreeMap::new(),
+        new_entries: 0,
         stopping: Vec::new(),
-        summarised: Millis::ZERO,
+        last_summary: Millis::ZERO,
         counted: Millis::ZERO,
     };
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -57,16 +58,17 @@
                 exchange.receive(&buffer[..length], sender);
             }
             () = tokio::time::sleep_until(next) => {
-                exchange.round();
-                next = tokio::time::Instant::now() + until_next(&state);
+                exchange.run_round();
+                next = tokio::time::Instant::now() + round_interval(&state);
             }
-            () = state.news.notified() => exchange.round(),
+            () = state.news.notified() => exchange.run_round(),
         }
     }
 }
 
-/// The time until the next round: short while there is nothing to serve by yet.
-fn until_next(state: &State) -> Duration {
+/// The time until the next round: shorter while this entry lacks data that it needs to serve
+/// requests.
+fn round_interval(state: &State) -> Duration {
     let round = if state.knows_all() && state.knows_withheld() {
         ROUND_INTERVAL
     } else {
@@ -78,94 +80,95 @@
 struct Exchange {
     state: Rc<State>,
     socket: Rc<UdpSocket>,
-    /// When each question was sent.
-    asked: HashMap<u64, Millis>,
-    next: u64,
-    /// Of whom others were told last.
-    told_last: Option<name::Entry>,
-    /// Of whom newcomers of each data centre were told last.
-    introduced: BTreeMap<name::DataCentre, name::Entry>,
-    /// Entries that answer since the last summary.
-    newcomers: usize,
-    /// Entries that have said since the last summary that they stop.
+    /// When each unanswered query was sent, by its number.
+    sent_queries: HashMap<u64, Millis>,
+    next_number: u64,
+    /// The last entry that was described to others; the next message continues after it.
+    last_described: Option<name::Entry>,
+    /// The last entry that was described to newcomers, by their data centre.
+    last_introduced: BTreeMap<name::DataCentre, name::Entry>,
+    /// The number of entries that became reachable since the last summary.
+    new_entries: usize,
+    /// Entries that announced their shutdown since the last summary.
     stopping: Vec<name::Entry>,
-    summarised: Millis,
-    /// When the own counts were told last.
+    last_summary: Millis,
+    /// When this entry's usage counts were last sent.
     counted: Millis,
 }
 
 impl Exchange {
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         let now = self.state.now();
-        self.asked.retain(|_, at| now - *at < LATE);
-        self.summarise(now);
+        self.sent_queries.retain(|_, at| now - *at < ANSWER_TIMEOUT);
+        self.log_summary(now);
         if self.state.shutdown().is_some() {
-            self.take_leave(now);
+            self.send_stop_notices(now);
         }
-        self.tell_counts(now);
+        self.send_counts(now);
         let mut to = self.state.fleet.borrow_mut().gossip_targets(now);
-        to.extend(self.unheard());
-        let question = self.message(0, false);
+        to.extend(self.unknown_addresses());
+        let query = self.message(0, false);
         for address in to {
-            self.ask(question.clone(), address);
+            self.send_query(query.clone(), address);
         }
     }
 
-    /// Tells those that name this entry to callers that it stops. Nothing is asked, and no
-    /// load told: 59 whole messages would take 60 ms of a link of 10 Mbit/s, by calculation.
-    fn take_leave(&self, now: Millis) {
+    /// Announces the shutdown to the entries that list this one to callers. The notices are no
+    /// queries and carry no load: 59 full messages would take a calculated 60 ms on a link of
+    /// 10 Mbit/s.
+    fn send_stop_notices(&self, now: Millis) {
         let to = self.state.fleet.borrow_mut().stop_notice_targets(now);
         if to.is_empty() {
             return;
         }
-        let farewell = self.bare(message::STOP_NOTICE, true);
+        let notice = self.base_message(message::STOP_NOTICE, true);
         for address in to {
-            self.send(&farewell, address);
+            self.send(&notice, address);
         }
     }
 
-    /// Asks another entry; what it answers is as old, at least, as this moment.
-    fn ask(&mut self, mut question: Message, address: SocketAddr) {
-        // Never zero, which is a farewell's.
-        self.next = self.next.wrapping_add(1).max(1);
-        self.asked.insert(self.next, self.state.now());
-        question.number = self.next;
-        question.members = self.told();
-        self.send(&question, address);
+    /// Sends a query and records when: the ages in its answer count from this moment.
+    fn send_query(&mut self, mut query: Message, address: SocketAddr) {
+        // Zero is reserved for stop notices.
+        self.next_number = self.next_number.wrapping_add(1).max(1);
+        self.sent_queries.insert(self.next_number, self.state.now());
+        query.number = self.next_number;
+        query.members = self.next_members();
+        self.send(&query, address);
     }
 
-    /// Logs how many entries answer that did not before, and which have begun to stop: one
-    /// line for all of them, as hundreds may come and go together.
-    fn summarise(&mut self, now: Millis) {
-        let has_news = self.newcomers > 0 || !self.stopping.is_empty();
-        if !has_news || now - self.summarised < SUMMARY {
+    /// Logs how many entries have become reachable and which are shutting down. Each is one line
+    /// for all entries, as hundreds may come and go together.
+    fn log_summary(&mut self, now: Millis) {
+        let has_changes = self.new_entries > 0 || !self.stopping.is_empty();
+        if !has_changes || now - self.last_summary < SUMMARY_INTERVAL {
             return;
         }
-        self.summarised = now;
+        self.last_summary = now;
         let answering = self.state.fleet.borrow().reachable(now).count();
-        if self.newcomers > 0 {
-            log::info!(newly = self.newcomers, answering = answering; "other entries answer");
-            self.newcomers = 0;
+        if self.new_entries > 0 {
+            log::info!(newly = self.new_entries, answering = answering; "other entries became reachable");
+            self.new_entries = 0;
         }
         if !self.stopping.is_empty() {
-            let named = self.stopping.iter().take(MOST_NAMED);
+            let named = self.stopping.iter().take(MAX_LOGGED_NAMES);
             let named: Vec<_> = named.map(name::Entry::as_str).collect();
             log::info!(
                 newly = self.stopping.len(), entries = named.join(" "), answering = answering;
-                "other entries are stopping"
+                "other entries are shutting down"
             );
             self.stopping.clear();
         }
     }
 
-    /// Addresses from the settings and the platform that no known entry has: one
-    /// may have come back there.
-    fn unheard(&self) -> BTreeSet<SocketAddr> {
+    /// Addresses from the settings and the platform at which no entry is known. They are queried
+    /// in each round, as an entry may have come back there.
+    fn unknown_addresses(&self) -> BTreeSet<SocketAddr> {
         let own = self.state.settings.peer_listen;
         let fleet = self.state.fleet.borrow();
         let known: Vec<_> = fleet.known().map(|member| member.peer).collect();
         let seeds = self.state.settings.seeds.iter();
-        // The port for messages is the same on all instances.
+        // All instances use the same port for gossip.
         let seeds = seeds.map(|seed| SocketAddr::new(seed.ip(), own.port()));
         let hints = self.state.hints.borrow();
         let all = seeds.chain(hints.iter().copied());
@@ -177,20 +180,20 @@
         let now = self.state.now();
         let load = self.state.loads.borrow().gossip(MAX_LOADS, now);
         let mut message = Message {
-            members: self.told(),
+            members: self.next_members(),
             load,
             idle_limits: self.state.rests.borrow().report(now),
-            ..self.bare(number, is_answer)
+            ..self.base_message(number, is_answer)
         };
         let suspects = self.state.quarantine.borrow_mut().tell(MAX_SUSPECTS, now);
         if let Err(error) = message::add_suspects(&mut message, suspects) {
-            log::debug!(error = error.to_string(); "a request can't be told of");
+            log::debug!(error = error.to_string(); "suspect requests could not be encoded");
         }
         message
     }
 
-    /// A message that tells only who this entry is, and how much it knows.
-    fn bare(&self, number: u64, is_answer: bool) -> Message {
+    /// A message with only this entry's identity, versions, time and claim.
+    fn base_message(&self, number: u64, is_answer: bool) -> Message {
         Message {
             number,
             is_answer,
@@ -206,53 +209,53 @@
         }
     }
 
-    /// Some of the other answering entries, in turns.
-    fn told(&mut self) -> Vec<Member> {
+    /// The next reachable entries to describe to others, in rotation.
+    fn next_members(&mut self) -> Vec<Member> {
         let now = self.state.now();
         let fleet = self.state.fleet.borrow();
-        let answering = fleet.reachable_after(self.told_last.as_ref(), now);
+        let answering = fleet.reachable_after(self.last_described.as_ref(), now);
         let members: Vec<_> = answering.take(MEMBERS_PER_MESSAGE).cloned().collect();
         if let Some(last) = members.last() {
-            self.told_last = Some(last.name.clone());
+            self.last_described = Some(last.name.clone());
         }
         members
     }
 
-    /// An answer to one that knows few others tells of as many as it holds, those of its
-    /// own data centre first.
-    fn introduce(&mut self, answer: &mut Message, newcomer: &Member) {
+    /// Fills the answer to an entry that knows few others with as many entries as fit, those of
+    /// its own data centre first.
+    fn describe_others(&mut self, answer: &mut Message, newcomer: &Member) {
         let now = self.state.now();
         let fleet = self.state.fleet.borrow();
-        let last = self.introduced.get(&newcomer.data_centre);
+        let last = self.last_introduced.get(&newcomer.data_centre);
         let others = fleet.peers_for_newcomer(newcomer, last, now);
         let before = answer.members.len();
         if let Err(error) = message::add_members(answer, &others) {
-            log::debug!(error = error.to_string(); "an entry can't be told of");
+            log::debug!(error = error.to_string(); "other entries could not be encoded");
         }
         if let Some(last) = answer.members[before..].last() {
             let data_centre = newcomer.data_centre.clone();
-            self.introduced.insert(data_centre, last.name.clone());
+            self.last_introduced.insert(data_centre, last.name.clone());
         }
     }
 
     fn send(&self, message: &Message, address: SocketAddr) {
         match message::encode(message) {
             Ok(bytes) => self.send_bytes(&bytes, address),
-            Err(error) => unsent(address, &error),
+            Err(error) => log_send_error(address, &error),
         }
     }
 
     fn send_bytes(&self, bytes: &[u8], address: SocketAddr) {
         if let Err(error) = self.socket.try_send_to(bytes, address) {
-            unsent(address, &error);
+            log_send_error(address, &error);
         }
     }
 
-    /// Tells those that collect counts what endpoints began to run for this entry: all of each
-    /// window that is not settled, so that nothing is missing where a message is lost.
-    fn tell_counts(&mut self, now: Millis) {
+    /// Sends the counts of what endpoints began to run for this entry to the collectors. Each
+    /// send repeats all counts of every unsettled window, so that a lost datagram loses nothing.
+    fn send_counts(&mut self, now: Millis) {
         let is_stopping = self.state.shutdown().is_some();
-        if !self.state.meters() || (now - self.counted < COUNTS && !is_stopping) {
+        if !self.state.meters() || (now - self.counted < COUNTS_INTERVAL && !is_stopping) {
             return;
         }
         let claim = self.state.claim.borrow();
@@ -272,13 +275,13 @@
                 }
             }
             if claim.collectors.contains(&own) {
-                self.collect(counts);
+                self.record_counts(counts);
             }
         }
     }
 
-    /// Takes in what an entry has counted.
-    fn collect(&self, counts: message::Counts) {
+    /// Records the counts of an entry, if this one is configured for the duties.
+    fn record_counts(&self, counts: message::Counts) {
         let Some(duties) = &self.state.settings.duties else {
             return;
         };
@@ -290,11 +293,11 @@
 
     fn receive(&mut self, bytes: &[u8], sender: SocketAddr) {
         if let Some(counts) = message::decode_counts(bytes) {
-            self.collect(counts);
+            self.record_counts(counts);
             return;
         }
         let Some(message) = message::decode(bytes) else {
-            log::debug!(from = sender.to_string(); "a datagram of another form was dropped");
+            log::debug!(from = sender.to_string(); "dropped a datagram that is malformed or of another wire version");
             return;
         };
         let now = self.state.now();
@@ -307,15 +310,15 @@
                 self.stopping.push(message.from.name.clone());
             }
             if fleet.record_contact(message.from.clone(), now) {
-                self.newcomers += 1;
-                log::debug!(entry = message.from.name.as_str(); "another entry answers");
+                self.new_entries += 1;
+                log::debug!(entry = message.from.name.as_str(); "another entry became reachable");
             }
         }
         if message.number != message::STOP_NOTICE {
             let mut loads = self.state.loads.borrow_mut();
             loads.apply_gossip(&message.from.name, &message.load, now);
         }
-        // Only the duties go by the time on which entries agree.
+        // The time on which entries agree is used only for the duties.
         if self.state.settings.duties.is_some() {
             let own = self.state.clock.unix();
             let mut readings = self.state.readings.borrow_mut();
@@ -333,7 +336,7 @@
             self.state.has_read_withheld.set(true);
         }
         if message.is_answer {
-            self.learn(&message, now);
+            self.confirm_versions(&message, now);
         } else {
             let mut answer = self.message(message.number, true);
             let is_newcomer = self
@@ -342,44 +345,47 @@
                 .borrow()
                 .is_newcomer(message.known_entries, now);
             if is_newcomer {
-                self.introduce(&mut answer, &message.from);
+                self.describe_others(&mut answer, &message.from);
             }
             self.send(&answer, sender);
-            self.ask_back(&message);
+            self.query_back(&message);
         }
-        self.fetch_newer(&message);
+        self.start_fetch_if_newer(&message);
     }
 
-    /// Asks the sender of a question whose plan is confirmed where the own one is not.
-    fn ask_back(&mut self, message: &Message) {
+    /// Queries the sender of a query if its confirmation of the same plan is fresher than this
+    /// entry's by enough to be worth it.
+    fn query_back(&mut self, message: &Message) {
         let own = knowledge(&self.state);
-        let told = message.knowledge;
+        let theirs = message.knowledge;
         let spread = self.state.fleet.borrow().propagation_time();
-        if told.plan == own.plan && polling::should_query_back(own.plan_age, told.plan_age, spread)
+        if theirs.plan == own.plan
+            && polling::should_query_back(own.plan_age, theirs.plan_age, spread)
         {
-            let question = self.message(0, false);
-            self.ask(question, message.from.peer);
+            let query = self.message(0, false);
+            self.send_query(query, message.from.peer);
         }
     }
 
-    /// Takes in how fresh the knowledge of another entry is, as of the moment of
-    /// our question.
-    fn learn(&mut self, message: &Message, now: Millis) {
-        let Some(asked) = self.asked.remove(&message.number) else {
+    /// Confirms this entry's plan and endpoints by an answer. The ages in it are counted from
+    /// the moment at which the query was sent.
+    fn confirm_versions(&mut self, message: &Message, now: Millis) {
+        let Some(sent_at) = self.sent_queries.remove(&message.number) else {
             return;
         };
-        if now - asked >= LATE {
+        if now - sent_at >= ANSWER_TIMEOUT {
             return;
         }
-        let knows = message.knowledge;
-        self.state.confirm_plan(knows.plan, asked - knows.plan_age);
-        let endpoints_as_of = asked - knows.endpoints_age;
+        let versions = message.knowledge;
+        self.state
+            .confirm_plan(versions.plan, sent_at - versions.plan_age);
+        let endpoints_as_of = sent_at - versions.endpoints_age;
         let mut roster = self.state.roster.borrow_mut();
-        roster.confirm(knows.endpoints, endpoints_as_of);
+        roster.confirm(versions.endpoints, endpoints_as_of);
     }
 
-    /// Fetches what another entry knows and this one does not yet.
-    fn fetch_newer(&self, message: &Message) {
+    /// Starts a fetch if another entry has newer data than this one.
+    fn start_fetch_if_newer(&self, message: &Message) {
         let has_plan = message.knowledge.plan > self.state.force.borrow().version();
         let has_endpoints = message.knowledge.endpoints > self.state.roster.borrow().revision();
         let has_evacuation =
@@ -390,11 +396,11 @@
     }
 }
 
-fn unsent(address: SocketAddr, error: &dyn Error) {
-    log::debug!(to = address.to_string(), error = error.to_string(); "a message was not sent");
+fn log_send_error(address: SocketAddr, error: &dyn Error) {
+    log::debug!(to = address.to_string(), error = error.to_string(); "a datagram could not be sent");
 }
 
-/// What this entry knows.
+/// The versions that this entry has, with the age of their confirmation.
 pub fn knowledge(state: &State) -> Knowledge {
     let now = state.now();
     let force = state.force.borrow();
--- a/crates/relay/src/gossip/fetch.rs
+++ b/crates/relay/src/gossip/fetch.rs
@@ -1,4 +1,4 @@
-//! Passing the configuration and the endpoints on between entries, over TCP.
+//! Transfers the configuration, the endpoints and the evacuations between entries over TCP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,66 +17,75 @@
 use crate::source::Evacuations;
 use crate::state::State;
 
-/// How long nothing may come or go in an exchange.
-const TIMEOUT: Millis = Millis(1_000);
-/// The longest time for one exchange: a list of some 10,000 endpoints, over a link that hundreds of
-/// others want the same of.
-const LONGEST: Millis = Millis(10_000);
-/// So many bytes are read or written at once.
-const PIECE: usize = 16 * 1024;
-/// The largest message, in bytes: thousands of routes.
-const MOST_BYTES: u32 = 8 * 1024 * 1024;
+/// The longest time without progress in an exchange.
+const IDLE_TIMEOUT: Millis = Millis(1_000);
+/// The longest time for one exchange. It allows for a list of some 10,000 endpoints over a link
+/// on which hundreds of other entries fetch the same.
+const EXCHANGE_TIMEOUT: Millis = Millis(10_000);
+/// The number of bytes that are written at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// The largest message, in bytes: enough for thousands of routes.
+const MAX_MESSAGE_BYTES: u32 = 8 * 1024 * 1024;
 
-/// How many whole lists an entry sends at the same time, at most: those that have theirs soon give
-/// it to others, so few at a time reach all of a fleet the soonest. One alone could be held up by
-/// a single entry that reads slowly.
-const MOST_LISTS: usize = 2;
+/// The maximum number of whole lists that an entry sends at the same time. Few transfers at a
+/// time reach the whole fleet the soonest, as entries that have the list pass it on. With only
+/// one, a single entry that reads slowly could block all others.
+const MAX_LIST_TRANSFERS: usize = 2;
 
-/// How many entries are asked at the same time, at most.
-const MOST: usize = 3;
-/// After so long without an answer another entry is asked as well: the one asked may be
-/// frozen, or have lost its machine. Two that are silent delay what is newer by 0.6 s, where
-/// it took 2.1 s with one question at a time.
-const PATIENCE: Millis = Millis(300);
+/// The maximum number of fetches that run at the same time.
+const MAX_FETCHES: usize = 3;
+/// After this time without progress in the running fetches, another entry is asked as well: the
+/// first may be frozen, or its machine lost. Two silent entries delay newer data by 0.6 s; with
+/// one fetch at a time it was 2.1 s.
+const STALL_TIMEOUT: Millis = Millis(300);
 
-/// The questions to other entries that are under way, and the longest answers to theirs.
+/// The fetches from other entries that are running, and the whole lists being sent to others.
 #[derive(Debug, Default)]
 pub struct Fetches {
-    /// Whom, and when something last came from there.
+    /// The entry that is fetched from, and when data last arrived from it.
     running: Vec<(SocketAddr, Millis)>,
-    /// How many whole lists this entry is sending.
+    /// The number of whole lists that this entry is sending.
     sending: usize,
 }
 
 impl Fetches {
-    /// Whether an entry may be asked now. One that knows nothing yet asks one at a time, as
-    /// all that have just started ask the same few for whole lists.
-    pub fn may_start(&self, from: SocketAddr, knows_all: bool, now: Millis) -> bool {
-        let patience = if knows_all { PATIENCE } else { TIMEOUT };
-        let is_free =
-            |(asked, heard): &(SocketAddr, Millis)| *asked != from && now - *heard >= patience;
-        self.running.len() < MOST && self.running.iter().all(is_free)
+    /// Whether a fetch from an entry may start now. While this entry lacks data that it needs to
+    /// serve, it waits longer before asking another one, as all entries that have just started
+    /// fetch whole lists from the same few.
+    pub fn may_start(&self, from: SocketAddr, has_all_data: bool, now: Millis) -> bool {
+        let stall_timeout = if has_all_data {
+            STALL_TIMEOUT
+        } else {
+            IDLE_TIMEOUT
+        };
+        let is_stalled = |(address, last_received): &(SocketAddr, Millis)| {
+            *address != from && now - *last_received >= stall_timeout
+        };
+        self.running.len() < MAX_FETCHES && self.running.iter().all(is_stalled)
     }
 
-    /// Notes that something has come from an entry: no other one needs to be asked meanwhile.
-    fn came(&mut self, from: SocketAddr, now: Millis) {
-        let asked = self.running.iter_mut().find(|(asked, _)| *asked == from);
-        if let Some((_, heard)) = asked {
-            *heard = now;
+    /// Records that data has arrived from an entry, which delays asking another one.
+    fn mark_progress(&mut self, from: SocketAddr, now: Millis) {
+        let fetch = self
+            .running
+            .iter_mut()
+            .find(|(address, _)| *address == from);
+        if let Some((_, last_received)) = fetch {
+            *last_received = now;
         }
     }
 }
 
-/// A whole list that is being sent, for as long as it is.
-struct Sending {
+/// Counts as one of the running list transfers until it is dropped.
+struct ListTransfer {
     state: Rc<State>,
 }
 
-impl Sending {
-    /// None while as many are sent as may be.
+impl ListTransfer {
+    /// Registers a transfer; `None` if the maximum number is running.
     fn begin(state: &Rc<State>) -> Option<Self> {
         let mut fetches = state.fetches.borrow_mut();
-        if fetches.sending >= MOST_LISTS {
+        if fetches.sending >= MAX_LIST_TRANSFERS {
             return None;
         }
         fetches.sending += 1;
@@ -86,13 +95,13 @@
     }
 }
 
-impl Drop for Sending {
+impl Drop for ListTransfer {
     fn drop(&mut self) {
         self.state.fetches.borrow_mut().sending -= 1;
     }
 }
 
-/// A question that is under way, for as long as it is.
+/// Registers a fetch as running until it is dropped.
 struct Running {
     state: Rc<State>,
     from: SocketAddr,
@@ -116,7 +125,7 @@
     }
 }
 
-/// Begins to fetch from another entry what is newer there, if it may be asked now.
+/// Starts to fetch newer data from another entry, if a fetch may start now.
 pub fn start(state: &Rc<State>, from: SocketAddr) {
     let fetches = state.fetches.borrow();
     let may_start = fetches.may_start(from, state.knows_all(), state.now());
@@ -128,15 +137,16 @@
 }
 
 async fn fetch_one(state: &State, from: SocketAddr) {
-    let asked = state.now();
-    let question = FetchRequest {
+    let sent_at = state.now();
+    let request = FetchRequest {
         plan: state.force.borrow().version(),
         endpoints: state.roster.borrow().revision(),
         evacuation: state.evacuation.borrow().revision(),
     };
-    let came = || state.fetches.borrow_mut().came(from, state.now());
-    let limit = Duration::from_millis(LONGEST.0);
-    let fetched = match tokio::time::timeout(limit, ask(from, question, came)).await {
+    let on_progress = || state.fetches.borrow_mut().mark_progress(from, state.now());
+    let limit = Duration::from_millis(EXCHANGE_TIMEOUT.0);
+    let fetched = match tokio::time::timeout(limit, request_newer(from, request, on_progress)).await
+    {
         Ok(Ok(fetched)) => fetched,
         Ok(Err(error)) => {
             log::info!(from = from.to_string(), error = error.to_string(); "nothing was fetched");
@@ -147,31 +157,31 @@
             return;
         }
     };
-    let knows = fetched.knowledge;
+    let versions = fetched.knowledge;
     if let Some(evacuation) = fetched.evacuation {
         follow::take_evacuations(state, Evacuations::All(evacuation), "entry");
     }
     if let Some(plan) = fetched.plan {
-        follow::take_plan(state, plan, asked - knows.plan_age, "entry");
+        follow::take_plan(state, plan, sent_at - versions.plan_age, "entry");
     }
-    let as_of = asked - knows.endpoints_age;
+    let as_of = sent_at - versions.endpoints_age;
     match fetched.endpoints {
         Some(Listed::All(all)) => {
-            follow::take_endpoints(state, all, knows.endpoints, as_of, "entry");
+            follow::take_endpoints(state, all, versions.endpoints, as_of, "entry");
         }
         Some(Listed::Changes(changes)) => follow::take_changes(state, changes, as_of, "entry"),
         None => {}
     }
 }
 
-async fn ask(
+async fn request_newer(
     from: SocketAddr,
-    question: FetchRequest,
-    came: impl Fn(),
+    request: FetchRequest,
+    on_progress: impl Fn(),
 ) -> io::Result<FetchResponse> {
-    let mut stream = in_time(TcpStream::connect(from)).await?;
-    write(&mut stream, &question).await?;
-    read(&mut stream, came).await
+    let mut stream = with_idle_timeout(TcpStream::connect(from)).await?;
+    write(&mut stream, &request).await?;
+    read(&mut stream, on_progress).await
 }
 
 /// Answers other entries for as long as the process runs.
@@ -190,40 +200,45 @@
 }
 
 async fn answer(state: Rc<State>, mut stream: TcpStream) {
-    let limit = Duration::from_millis(LONGEST.0);
+    let limit = Duration::from_millis(EXCHANGE_TIMEOUT.0);
     let answering = async {
-        let question: FetchRequest = read(&mut stream, || {}).await?;
-        let (newer, _sending) = newer(&state, question);
-        write(&mut stream, &newer).await
+        let request: FetchRequest = read(&mut stream, || {}).await?;
+        let (response, _transfer) = build_response(&state, request);
+        write(&mut stream, &response).await
     };
     match tokio::time::timeout(limit, answering).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => log::debug!(error = error.to_string(); "an entry was not answered"),
-        Err(_) => log::debug!("an entry was not answered in time"),
+        Ok(Err(error)) => log::debug!(error = error.to_string(); "a fetch request failed"),
+        Err(_) => log::debug!("a fetch request timed out"),
     }
 }
 
-/// What is newer than an entry has told, and what is held for as long as that is sent.
-fn newer(state: &Rc<State>, question: FetchRequest) -> (FetchResponse, Option<Sending>) {
+/// Builds the response to a fetch request. If it holds a whole list, the returned guard must
+/// live until the response is sent.
+fn build_response(
+    state: &Rc<State>,
+    request: FetchRequest,
+) -> (FetchResponse, Option<ListTransfer>) {
     let knowledge = knowledge(state);
     let force = state.force.borrow();
-    let has_newer = force.version() > question.plan;
+    let has_newer = force.version() > request.plan;
     let plan = force.table().filter(|_| has_newer);
-    let (endpoints, sending) = lacking(state, question.endpoints);
+    let (endpoints, transfer) = newer_endpoints(state, request.endpoints);
     let evacuation = state.evacuation.borrow();
-    let has_newer = evacuation.revision() > question.evacuation;
-    let newer = FetchResponse {
+    let has_newer = evacuation.revision() > request.evacuation;
+    let response = FetchResponse {
         knowledge,
         plan: plan.map(|table| table.plan().clone()),
         endpoints,
         evacuation: has_newer.then(|| evacuation.clone()),
     };
-    (newer, sending)
+    (response, transfer)
 }
 
-/// The endpoints that an entry lacks which knows this revision. While too many others are sent
-/// whole lists, it gets none: it hears of others that have it.
-fn lacking(state: &Rc<State>, revision: u64) -> (Option<Listed>, Option<Sending>) {
+/// The endpoints newer than a revision: changes if the history reaches back that far, else the
+/// whole list. While the maximum number of whole lists is being sent there is none; the
+/// requesting entry learns from gossip of others that have the list.
+fn newer_endpoints(state: &Rc<State>, revision: u64) -> (Option<Listed>, Option<ListTransfer>) {
     let roster = state.roster.borrow();
     if roster.revision() <= revision {
         return (None, None);
@@ -231,46 +246,49 @@
     if let Some(changes) = roster.since(revision) {
         return (Some(Listed::Changes(changes)), None);
     }
-    let sending = Sending::begin(state);
+    let transfer = ListTransfer::begin(state);
     let all = || Listed::All(roster.listed().cloned().collect());
-    (sending.is_some().then(all), sending)
+    (transfer.is_some().then(all), transfer)
 }
 
 async fn write(stream: &mut TcpStream, message: &impl Serialize) -> io::Result<()> {
     let bytes = postcard::to_stdvec(message).map_err(io::Error::other)?;
     let length = u32::try_from(bytes.len()).map_err(io::Error::other)?;
-    in_time(stream.write_u8(FORM)).await?;
-    in_time(stream.write_u32(length)).await?;
-    for piece in bytes.chunks(PIECE) {
-        in_time(stream.write_all(piece)).await?;
+    with_idle_timeout(stream.write_u8(FORM)).await?;
+    with_idle_timeout(stream.write_u32(length)).await?;
+    for chunk in bytes.chunks(CHUNK_BYTES) {
+        with_idle_timeout(stream.write_all(chunk)).await?;
     }
     Ok(())
 }
 
-/// Reads a message; `came` is told of each piece.
-async fn read<T: DeserializeOwned>(stream: &mut TcpStream, came: impl Fn()) -> io::Result<T> {
-    if in_time(stream.read_u8()).await? != FORM {
-        return Err(io::Error::other("the message has another form"));
+/// Reads a message and calls `on_progress` after each chunk.
+async fn read<T: DeserializeOwned>(
+    stream: &mut TcpStream,
+    on_progress: impl Fn(),
+) -> io::Result<T> {
+    if with_idle_timeout(stream.read_u8()).await? != FORM {
+        return Err(io::Error::other("the message has another wire version"));
     }
-    let length = in_time(stream.read_u32()).await?;
-    if length > MOST_BYTES {
-        return Err(io::Error::other("the message is too large"));
+    let length = with_idle_timeout(stream.read_u32()).await?;
+    if length > MAX_MESSAGE_BYTES {
+        return Err(io::Error::other("the message exceeds the maximum size"));
     }
     let mut bytes = vec![0; usize::try_from(length).map_err(io::Error::other)?];
     let mut read = 0;
     while read < bytes.len() {
-        match in_time(stream.read(&mut bytes[read..])).await? {
+        match with_idle_timeout(stream.read(&mut bytes[read..])).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            more => read += more,
+            count => read += count,
         }
-        came();
+        on_progress();
     }
     postcard::from_bytes(&bytes).map_err(io::Error::other)
 }
 
-/// A step of an exchange, which must not stand still.
-async fn in_time<T>(step: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let limit = Duration::from_millis(TIMEOUT.0);
+/// Runs one step of an exchange and fails if it makes no progress in time.
+async fn with_idle_timeout<T>(step: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+    let limit = Duration::from_millis(IDLE_TIMEOUT.0);
     let step = tokio::time::timeout(limit, step).await;
     step.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/relay/src/gossip/message.rs
+++ b/crates/relay/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! The messages between entries, in postcard.
+//! The messages between entries, encoded with postcard.
 
 use serde::{Deserialize, Serialize};
 use woodgap_core::clock::Millis;
@@ -12,156 +12,159 @@
 use woodgap_core::relay::usage;
 use woodgap_core::relay::{Evacuation, Plan};
 
-/// The first byte of each message: the version of this form. Entries of another form
-/// are not heard, so that nothing is read for what it is not.
+/// The first byte of each message: the version of the wire format. Messages of another
+/// version are dropped, so that they are never misread.
 pub const FORM: u8 = 9;
-/// The first byte of a message that only tells counts.
+/// The first byte of a datagram that carries only usage counts.
 const COUNTS_FORM: u8 = FORM | 0x80;
-/// The largest datagram, in bytes: what passes every link whole.
+/// The largest datagram, in bytes: small enough to cross every link without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// The most endpoints whose load one message tells of.
+/// The maximum number of endpoints whose load one message reports.
 pub const MAX_LOADS: usize = 48;
-/// The most requests that one message tells of, as endpoints crashed with them: 25 bytes for one
-/// with one crash, 37 with three.
+/// The maximum number of requests that one message reports as suspected of crashing endpoints.
+/// One takes 25 bytes with one crash and 37 bytes with three.
 pub const MAX_SUSPECTS: usize = 12;
-/// How many other entries a message tells of, unless it answers one that has just started.
+/// How many other entries a message describes, unless it answers one that has just started.
 pub const MEMBERS_PER_MESSAGE: usize = 1;
 
-/// The number of a message that asks and answers nothing: its sender stops, and tells no load.
+/// The number of a message that is neither a query nor an answer: its sender is shutting down
+/// and reports no load.
 pub const STOP_NOTICE: u64 = 0;
 
-/// A datagram.
+/// A gossip datagram: a query, an answer or a stop notice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Tells questions of one entry apart; an answer repeats its question's.
+    /// Identifies a query among those of its sender; an answer repeats the query's number.
     pub number: u64,
-    /// Whether it answers a question.
+    /// Whether this is the answer to a query.
     pub is_answer: bool,
-    /// The sender.
+    /// The sender's membership record.
     pub from: Member,
-    /// What the sender knows.
+    /// The versions that the sender has, with the age of their confirmation.
     pub knowledge: Knowledge,
-    /// How many other entries the sender knows.
+    /// The number of other entries that the sender knows.
     pub known_entries: usize,
-    /// Some of these.
+    /// Some of these entries.
     pub members: Vec<Member>,
-    /// The sender's load.
+    /// The load that the sender reports, by endpoint and service.
     pub load: LoadReport,
-    /// How long connections to endpoints may rest, as the sender has found out.
+    /// How long connections to endpoints may stay idle, as observed by the sender.
     pub idle_limits: Vec<rest::IdleLimit>,
-    /// Requests that endpoints crashed with.
+    /// Requests that were running on endpoints when these crashed.
     pub suspects: Vec<quarantine::Told>,
     /// The sender's time of day, in ms since the Unix epoch.
     pub unix: Millis,
-    /// Who has the duties, as far as the sender knows.
+    /// The newest claim to the fleet's duties that the sender knows.
     pub claim: Option<Claim>,
 }
 
-/// A datagram that only tells counts: what endpoints began to run for the sender.
+/// A datagram with the sender's usage counts: what endpoints began to run for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// The sender.
+    /// The name of the sender.
     pub entry: name::Entry,
-    /// Its life.
+    /// The sender's incarnation.
     pub incarnation: name::Incarnation,
-    /// What it has counted.
+    /// The counts of one window, by workspace.
     pub window_counts: usage::WindowCounts,
 }
 
-/// What an entry knows, and how old the confirmation of it is.
+/// The versions of the data that an entry has, and how old their confirmation is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Knowledge {
     /// The version of the plan in force; 0 for none.
     pub plan: u64,
-    /// How long ago that was known to be the newest.
+    /// The time since the plan was last confirmed as the newest.
     pub plan_age: Millis,
     /// The revision of the list of endpoints; 0 for none.
     pub endpoints: u64,
-    /// How long ago that was known to be the newest.
+    /// The time since the list was last confirmed as the newest.
     pub endpoints_age: Millis,
-    /// The revision of the data centres that are evacuated; 0 where none ever was.
+    /// The revision of the set of evacuated data centres; 0 if none was ever evacuated.
     pub evacuation: u64,
-    /// Whether the entry knows what the platform keeps of requests that are withheld.
+    /// Whether the entry has the platform's records of withheld requests.
     pub withheld: bool,
 }
 
-/// Asks for what is newer, over TCP.
+/// A request over TCP for data newer than the versions named here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// The version of the plan that the asker has.
+    /// The version of the plan that the requesting entry has.
     pub plan: u64,
-    /// The revision of the endpoints that the asker has.
+    /// The revision of the list of endpoints that the requesting entry has.
     pub endpoints: u64,
-    /// The revision of the evacuated data centres that the asker has.
+    /// The revision of the set of evacuated data centres that the requesting entry has.
     pub evacuation: u64,
 }
 
-/// What is newer.
+/// The data that is newer than the requesting entry's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FetchResponse {
-    /// What the answering entry knows.
+    /// The versions that the answering entry has.
     pub knowledge: Knowledge,
     /// The plan, if it is newer.
     pub plan: Option<Plan>,
     /// The endpoints, if the list is newer.
     pub endpoints: Option<Listed>,
-    /// The data centres that are evacuated, if that is newer.
+    /// The set of evacuated data centres, if it is newer.
     pub evacuation: Option<Evacuation>,
 }
 
-/// Endpoints that an entry lacks.
+/// The list of endpoints, whole or as changes to an earlier revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Listed {
     /// The whole list.
     All(Vec<Endpoint>),
-    /// The changes that it lacks, each with its revision.
+    /// The changes since the requested revision, each with its own revision.
     Changes(Vec<(u64, Change)>),
 }
 
-/// Writes a datagram.
+/// Encodes a message as a datagram.
 ///
 /// # Errors
 ///
-/// If a field can't be written.
+/// If a field can't be serialised.
 pub fn encode(message: &Message) -> Result<Vec<u8>, postcard::Error> {
     let mut bytes = vec![FORM];
     bytes.extend(postcard::to_stdvec(message)?);
     Ok(bytes)
 }
 
-/// Adds as many of these entries to a message as still fit into its datagram.
+/// Adds entries to a message, in the given order, for as long as it fits into a datagram.
 ///
 /// # Errors
 ///
-/// If a field can't be written.
+/// If a field can't be serialised.
 pub fn add_members(message: &mut Message, members: &[&Member]) -> Result<(), postcard::Error> {
-    let count = fitting(message, members)?;
-    let told = members.iter().take(count);
-    message.members.extend(told.map(|member| (*member).clone()));
+    let count = count_fitting(message, members)?;
+    let added = members.iter().take(count);
+    message
+        .members
+        .extend(added.map(|member| (*member).clone()));
     Ok(())
 }
 
-/// The same for requests that endpoints crashed with.
+/// Sets a message's suspect requests to the first ones, as many as fit into a datagram.
 ///
 /// # Errors
 ///
-/// If a field can't be written.
+/// If a field can't be serialised.
 pub fn add_suspects(
     message: &mut Message,
     mut suspects: Vec<quarantine::Told>,
 ) -> Result<(), postcard::Error> {
-    let count = fitting(message, &suspects)?;
+    let count = count_fitting(message, &suspects)?;
     suspects.truncate(count);
     message.suspects = suspects;
     Ok(())
 }
 
-/// How many of these, from the first on, fit into a message's datagram beside the rest.
-fn fitting(message: &Message, items: &[impl Serialize]) -> Result<usize, postcard::Error> {
+/// Counts how many items, from the first on, fit into the datagram beside the message.
+fn count_fitting(message: &Message, items: &[impl Serialize]) -> Result<usize, postcard::Error> {
     let mut bytes = encode(message)?.len();
     for (count, item) in items.iter().enumerate() {
         bytes += postcard::to_stdvec(item)?.len();
-        // The number of items takes a second byte from 128 on.
+        // One byte is left free: the length prefix takes two bytes from 128 items on.
         if bytes >= MAX_DATAGRAM_BYTES {
             return Ok(count);
         }
@@ -169,11 +172,11 @@
     Ok(items.len())
 }
 
-/// Writes what an entry counted of a window, as so many datagrams as that takes.
+/// Encodes the counts of a window, split over as many datagrams as they need.
 ///
 /// # Errors
 ///
-/// If a field can't be written.
+/// If a field can't be serialised.
 pub fn encode_counts(counts: &Counts) -> Result<Vec<Vec<u8>>, postcard::Error> {
     let mut bytes = vec![COUNTS_FORM];
     bytes.extend(postcard::to_stdvec(counts)?);
@@ -181,32 +184,32 @@
         return Ok(vec![bytes]);
     }
     let half = counts.window_counts.counts.len() / 2;
-    let (one, other) = counts.window_counts.counts.split_at(half);
-    let part = |part: &[(name::Workspace, u64)]| Counts {
+    let (left, right) = counts.window_counts.counts.split_at(half);
+    let with_counts = |part: &[(name::Workspace, u64)]| Counts {
         window_counts: usage::WindowCounts {
             window: counts.window_counts.window,
             counts: part.to_vec(),
         },
         ..counts.clone()
     };
-    let mut all = encode_counts(&part(one))?;
-    all.extend(encode_counts(&part(other))?);
-    Ok(all)
+    let mut datagrams = encode_counts(&with_counts(left))?;
+    datagrams.extend(encode_counts(&with_counts(right))?);
+    Ok(datagrams)
 }
 
-/// Reads a datagram that only tells counts; none if it is another one.
+/// Decodes a datagram of usage counts; `None` if it is of another kind or malformed.
 pub fn decode_counts(bytes: &[u8]) -> Option<Counts> {
-    let (form, counts) = bytes.split_first()?;
-    if *form != COUNTS_FORM {
+    let (version, counts) = bytes.split_first()?;
+    if *version != COUNTS_FORM {
         return None;
     }
     postcard::from_bytes(counts).ok()
 }
 
-/// Reads a datagram; none if it has another form.
+/// Decodes a message; `None` if it has another wire version or is malformed.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
-    let (form, message) = bytes.split_first()?;
-    if *form != FORM {
+    let (version, message) = bytes.split_first()?;
+    if *version != FORM {
         return None;
     }
     postcard::from_bytes(message).ok()
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -1,8 +1,8 @@
-//! Where the configuration, the endpoints and the other entries are learnt from.
+//! The source of the configuration, the endpoints and the addresses of other entries.
 //!
 //! [`table::TableSource`] reads them from the product's table service; a deployment on
-//! another platform brings a source of its own. A source asks and decodes, and
-//! decides nothing: when to ask again is up to [`crate::follow`].
+//! another platform provides its own implementation. A source only queries and decodes;
+//! [`crate::follow`] decides when to query again.
 
 pub mod row;
 pub mod table;
@@ -21,101 +21,101 @@
 
 use crate::source::row::Row;
 
-/// What an answer of the source brought.
+/// An answer of the source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update<T> {
-    /// Ask for what comes after this next time.
+    /// The position to continue from in the next query.
     pub cursor: u64,
-    /// What is new; none if nothing changed.
+    /// The new content; none if nothing changed.
     pub content: Option<T>,
-    /// When the answer was made, on a steady clock of the source's; none where the
-    /// source does not tell.
+    /// When the source produced the answer, on its monotonic clock; none if the source does
+    /// not say.
     pub produced_at: Option<Millis>,
 }
 
-/// Endpoints that are new, changed or gone.
+/// The list of endpoints, or changes to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Endpoints {
-    /// The whole list, as it is at the cursor.
+    /// The whole list as of the cursor.
     All(Vec<Row<Endpoint>>),
-    /// Changes since the cursor that was asked with.
+    /// The changes since the cursor in the query.
     Changes(Vec<Row<Endpoint>>),
 }
 
-/// Why the source gave no answer.
+/// Why the source gave no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// It can't be reached, does not answer in time, or turns us away.
+    /// The source can't be reached, does not answer in time, or refuses the call.
     #[error("unavailable: {0}")]
     Unavailable(String),
-    /// It has forgotten what comes after the cursor: ask for the whole.
+    /// The source no longer has the changes after the cursor; query without a cursor.
     #[error("the history after the cursor is gone")]
     HistoryGone,
-    /// What it holds can't be understood.
-    #[error("not understood: {0}")]
+    /// The answer can't be decoded.
+    #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
-/// The configurations that an answer brought, the newest last.
+/// The configurations in an answer, the newest last.
 pub type Plans = Vec<Row<Plan>>;
 
-/// What operators say.
+/// What operators have configured.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorUpdate {
-    /// The configurations that are new.
+    /// The new configurations.
     pub plans: Plans,
-    /// The data centres that they empty; none where nothing is told of them.
+    /// The data centres that they evacuate; none if the answer does not cover them.
     pub evacuations: Option<Evacuations>,
 }
 
 impl OperatorUpdate {
-    /// What is said, if anything is.
+    /// The update itself, or none if it is empty.
     pub fn non_empty(self) -> Option<Self> {
-        let has_news = !self.plans.is_empty() || self.evacuations.is_some();
-        has_news.then_some(self)
+        let has_content = !self.plans.is_empty() || self.evacuations.is_some();
+        has_content.then_some(self)
     }
 }
 
-/// Data centres that are evacuated.
+/// The evacuated data centres, or changes to them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Evacuations {
-    /// All of them.
+    /// The whole set.
     All(Evacuation),
-    /// What changed since the cursor that was asked with.
+    /// The changes since the cursor in the query.
     Changes(Vec<evacuation::Change>),
 }
 
-/// Where an entry takes messages of other entries, by name.
+/// The addresses at which entries receive gossip, by entry name.
 pub type Addresses = Vec<Row<SocketAddr>>;
 
-/// A source; see the module.
+/// A source of configuration, endpoints and entry addresses. See the [module](self).
 pub trait Source {
-    /// The configuration, as often as it changed after the cursor; the newest without one.
-    /// The data centres that are evacuated, in the same way. With a cursor, the answer may be
-    /// held for `wait` while nothing changes.
+    /// Reads all configurations after the cursor, or the newest one if there is no cursor, and
+    /// likewise the evacuated data centres. With a cursor, the answer may be held for `wait`
+    /// while nothing changes.
     fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<OperatorUpdate>>;
 
-    /// The endpoints, in the same way.
+    /// Reads the endpoints; `after` and `wait` work as in [`Source::plan`].
     fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<Endpoints>>;
 
-    /// Tells where this entry takes messages of others.
+    /// Publishes the address at which this entry receives gossip.
     fn announce<'a>(&'a self, entry: &'a name::Entry, address: SocketAddr) -> Answer<'a, ()>;
 
-    /// Takes that back.
+    /// Removes the published address of this entry.
     fn withdraw<'a>(&'a self, entry: &'a name::Entry) -> Answer<'a, ()>;
 
-    /// What all entries have told; some may be gone.
+    /// Reads the addresses that all entries have published; some may no longer run.
     fn entries(&self) -> Answer<'_, Addresses>;
 
-    /// Keeps what is known of a request that is withheld.
+    /// Stores the record of a withheld request.
     fn save_withheld<'a>(&'a self, kept: &'a Kept) -> Answer<'a, ()>;
 
-    /// Takes that back.
+    /// Deletes the record of a withheld request.
     fn delete_withheld(&self, request: Fingerprint) -> Answer<'_, ()>;
 
-    /// What all entries keep of requests that are withheld.
+    /// Reads the records of withheld requests that all entries have stored.
     fn list_withheld(&self) -> Answer<'_, Vec<Row<Kept>>>;
 }
 
-/// An answer to come.
+/// The future of a source's answer.
 pub type Answer<'a, T> = LocalBoxFuture<'a, Result<T, Error>>;
--- a/crates/relay/src/source/row.rs
+++ b/crates/relay/src/source/row.rs
@@ -1,5 +1,5 @@
-//! Rows as a source reads them. Others write them, so each stands for itself: one that
-//! can't be used names nothing, and all others hold.
+//! Rows as a source reads them, with their validation. Other programs write them, so each row is
+//! checked on its own: an unusable row is ignored and does not affect the others.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,82 +13,82 @@
 
 use crate::metrics::Metrics;
 
-/// The longest value of a row that names an endpoint or an entry, in bytes: some hundred
-/// times what one holds.
-const MOST_BYTES: usize = 64 * 1024;
-/// The longest name, in bytes: what a store takes for a key, with room.
-const MOST_NAME: usize = 256;
-/// The most requests that one endpoint may work on at once: some hundred times what a
-/// large engine does.
-const MOST_SLOTS: u32 = 65_536;
-/// The longest part of a key or a reason that is logged, in characters.
-const MOST_LOGGED: usize = 200;
-/// The most rows of one answer of which each has its line in the log.
-const MOST_LINES: usize = 16;
+/// The longest value of a row of an endpoint, an entry or a withheld request, in bytes: about a
+/// hundred times the usual length.
+const MAX_BYTES: usize = 64 * 1024;
+/// The longest name, in bytes: somewhat more than a store allows for a key.
+const MAX_NAME_BYTES: usize = 256;
+/// The maximum number of concurrent requests of one endpoint: about a hundred times that of a
+/// large engine.
+const MAX_SLOTS: u32 = 65_536;
+/// The maximum number of characters of a key or a reason that is logged.
+const MAX_LOGGED_CHARS: usize = 200;
+/// The maximum number of unusable rows of one answer that are logged one by one.
+const MAX_LOGGED_ROWS: usize = 16;
 
-/// A row that was written or removed.
+/// A row of a table, or the removal of one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row<T> {
-    /// Its key.
+    /// The key of the row.
     pub key: String,
-    /// Its version.
+    /// The version at which the row was written or removed.
     pub version: u64,
-    /// What it holds.
+    /// The decoded value, or why there is none.
     pub content: Content<T>,
 }
 
-/// What a row holds.
+/// The content of a row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content<T> {
-    /// Something that can be used.
+    /// A valid value.
     Usable(T),
-    /// Something else.
+    /// A value that failed decoding or validation.
     Unusable(RowError),
-    /// Nothing: it was removed.
+    /// The row was removed.
     Removed,
 }
 
 /// Why a row can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RowError {
-    /// Its value is not encoded as the source's rows are.
-    #[error("not encoded as rows are: {0}")]
+    /// The value does not have the encoding that the source uses.
+    #[error("invalid encoding: {0}")]
     Encoding(String),
-    /// Its value is no JSON, or lacks a field, or has one of another type or range.
-    #[error("not understood: {0}")]
+    /// The value is not JSON, lacks a field, or has a field of the wrong type or range.
+    #[error("malformed value: {0}")]
     Format(String),
-    /// Its value is too long; the length is in bytes.
-    #[error("{0} bytes are too long")]
+    /// The value exceeds the maximum length; the length is in bytes.
+    #[error("a value of {0} bytes exceeds the limit")]
     Size(usize),
     /// A name in it is empty, too long, or can't be sent as a header.
-    #[error("`{0}` is no name")]
+    #[error("invalid name: `{0}`")]
     Name(String),
-    /// It names something else than its key.
-    #[error("it names something else: `{0}`")]
+    /// The name in the value differs from the row's key.
+    #[error("the name in the value differs from the key: `{0}`")]
     KeyMismatch(String),
-    /// Nothing can be connected to at the address.
-    #[error("nothing can be connected to at {0}")]
+    /// The address can't be the target of a connection.
+    #[error("{0} is not an address to connect to")]
     Address(SocketAddr),
-    /// It tells of more slots than an endpoint has.
-    #[error("{0} slots are too many")]
+    /// The number of slots exceeds the maximum for an endpoint.
+    #[error("{0} slots exceed the limit")]
     Slots(u32),
 }
 
-/// What a row may hold, with what must be true of it.
+/// A type of value that a row may hold, with its validation.
 pub trait Check: Sized {
     /// The longest value, in bytes.
-    const MOST_BYTES: usize;
+    const MAX_BYTES: usize;
 
-    /// Whether it can be used under this key.
+    /// Validates the value for a row with this key.
     ///
     /// # Errors
     ///
-    /// Why it can't.
+    /// If the value can't be used.
     fn check(&self, key: &str) -> Result<(), RowError>;
 }
 
 impl Check for Endpoint {
-    const MOST_BYTES: usize = MOST_BYTES;
+    const MAX_BYTES: usize = MAX_BYTES;
 
     fn check(&self, key: &str) -> Result<(), RowError> {
         check_name(key)?;
@@ -98,7 +98,7 @@
         if self.life.id.as_str() != key {
             return Err(RowError::KeyMismatch(self.life.id.to_string()));
         }
-        if self.slots > MOST_SLOTS {
+        if self.slots > MAX_SLOTS {
             return Err(RowError::Slots(self.slots));
         }
         check_address(self.address)
@@ -106,7 +106,7 @@
 }
 
 impl Check for SocketAddr {
-    const MOST_BYTES: usize = MOST_BYTES;
+    const MAX_BYTES: usize = MAX_BYTES;
 
     fn check(&self, key: &str) -> Result<(), RowError> {
         check_name(key)?;
@@ -115,24 +115,22 @@
 }
 
 impl Check for Kept {
-    const MOST_BYTES: usize = MOST_BYTES;
+    const MAX_BYTES: usize = MAX_BYTES;
 
     fn check(&self, key: &str) -> Result<(), RowError> {
         if self.told.request.to_string() != key {
             return Err(RowError::KeyMismatch(self.told.request.to_string()));
         }
         if !self.is_sound() {
-            return Err(RowError::Format(
-                "crashes that are not remembered".to_owned(),
-            ));
+            return Err(RowError::Format("invalid crash records".to_owned()));
         }
         Ok(())
     }
 }
 
 impl Check for Plan {
-    // Only the source bounds it; whether it is sound is seen where it comes in force.
-    const MOST_BYTES: usize = usize::MAX;
+    // Only the source limits its size. The plan is validated when it comes into force.
+    const MAX_BYTES: usize = usize::MAX;
 
     fn check(&self, _: &str) -> Result<(), RowError> {
         Ok(())
@@ -140,16 +138,16 @@
 }
 
 fn check_name(text: &str) -> Result<(), RowError> {
-    let is_name = !text.is_empty() && text.len() <= MOST_NAME && text.trim() == text;
+    let is_name = !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.trim() == text;
     if is_name && HeaderValue::from_str(text).is_ok() {
         return Ok(());
     }
     Err(RowError::Name(text.to_owned()))
 }
 
-/// Names that are never sent may be any short text.
+/// Checks the length of a name that is never sent as a header; any short text is valid.
 fn check_length(text: &str) -> Result<(), RowError> {
-    if text.len() > MOST_NAME {
+    if text.len() > MAX_NAME_BYTES {
         return Err(RowError::Name(text.to_owned()));
     }
     Ok(())
@@ -165,7 +163,7 @@
 }
 
 impl<T: Check> Row<T> {
-    /// A row that holds this, if it can be used.
+    /// Creates a row with this value, which becomes unusable if the validation fails.
     pub fn new(key: &str, version: u64, value: Result<T, RowError>) -> Self {
         let checked = value.and_then(|value| value.check(key).map(|()| value));
         let content = checked.map_or_else(Content::Unusable, Content::Usable);
@@ -176,7 +174,7 @@
         }
     }
 
-    /// A row with these bytes as its value: JSON of the source's form `F`.
+    /// Decodes a row whose value is JSON of the source's type `F`, which `convert` converts.
     ///
     /// ```
     /// use std::net::SocketAddr;
@@ -190,24 +188,24 @@
         key: &str,
         version: u64,
         bytes: Result<Vec<u8>, RowError>,
-        form: impl FnOnce(F) -> T,
+        convert: impl FnOnce(F) -> T,
     ) -> Self {
         let value = bytes.and_then(|bytes| {
-            if bytes.len() > T::MOST_BYTES {
+            if bytes.len() > T::MAX_BYTES {
                 return Err(RowError::Size(bytes.len()));
             }
-            // The decoder would take a list for the values of a form without their names.
+            // Serde would accept an array as a struct's fields in order.
             if bytes.trim_ascii_start().starts_with(b"[") {
-                return Err(RowError::Format("a list".to_owned()));
+                return Err(RowError::Format("an array instead of an object".to_owned()));
             }
             let value = serde_json::from_slice(&bytes);
             value.map_err(|error| RowError::Format(error.to_string()))
         });
-        Self::new(key, version, value.map(form))
+        Self::new(key, version, value.map(convert))
     }
 }
 
-/// The rows of one table that can't be used, each told once until it is sound again.
+/// The unusable rows of one table. Each is logged and counted once until it is valid again.
 #[derive(Debug)]
 pub struct UnusableRows {
     what: &'static str,
@@ -215,7 +213,7 @@
 }
 
 impl UnusableRows {
-    /// None yet, in the table of these things.
+    /// Creates an empty set; `what` names the kind of rows in logs and metrics.
     pub fn new(what: &'static str) -> Self {
         Self {
             what,
@@ -223,20 +221,20 @@
         }
     }
 
-    /// Takes a whole table, and forgets rows that are not in it.
+    /// Records a whole table and drops the rows that are no longer in it.
     pub fn replace<T>(&mut self, rows: &[Row<T>], metrics: &Metrics) {
-        let there: HashSet<_> = rows.iter().map(|row| row.key.as_str()).collect();
-        self.keys.retain(|key| there.contains(key.as_str()));
+        let present: HashSet<_> = rows.iter().map(|row| row.key.as_str()).collect();
+        self.keys.retain(|key| present.contains(key.as_str()));
         self.record(rows, metrics);
     }
 
-    /// Takes changes of the table, and tells of rows that have become unusable.
+    /// Records changes of the table; logs and counts the rows that have become unusable.
     pub fn record<T>(&mut self, rows: &[Row<T>], metrics: &Metrics) {
-        let mut news = Vec::new();
+        let mut new_faults = Vec::new();
         for row in rows {
             match &row.content {
                 Content::Unusable(reason) if self.keys.insert(row.key.clone()) => {
-                    news.push((row.key.as_str(), row.version, reason));
+                    new_faults.push((row.key.as_str(), row.version, reason));
                 }
                 Content::Unusable(_) => {}
                 Content::Usable(_) | Content::Removed => {
@@ -245,25 +243,25 @@
             }
         }
         let count = metrics.unusable_rows.with_label_values(&[self.what]);
-        count.inc_by(news.len() as u64);
-        self.tell(&news);
+        count.inc_by(new_faults.len() as u64);
+        self.log(&new_faults);
     }
 
-    fn tell(&self, news: &[(&str, u64, &RowError)]) {
-        if news.len() > MOST_LINES {
-            log::warn!(what = self.what, rows = news.len(); "many rows can't be used");
+    fn log(&self, new_faults: &[(&str, u64, &RowError)]) {
+        if new_faults.len() > MAX_LOGGED_ROWS {
+            log::warn!(what = self.what, rows = new_faults.len(); "many rows can't be used");
             return;
         }
-        for (key, version, reason) in news {
+        for (key, version, reason) in new_faults {
             log::warn!(
-                what = self.what, key = shortened(key), version = version,
-                reason = shortened(&reason.to_string());
+                what = self.what, key = truncated(key), version = version,
+                reason = truncated(&reason.to_string());
                 "a row can't be used"
             );
         }
     }
 }
 
-fn shortened(text: &str) -> String {
-    text.chars().take(MOST_LOGGED).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_LOGGED_CHARS).collect()
 }
--- a/crates/relay/src/source/table.rs
+++ b/crates/relay/src/source/table.rs
@@ -1,9 +1,8 @@
-//! The product's own source: rows of the table service, read again and again.
+//! The product's own source, which polls rows of the table service.
 //!
-//! The plan is the row `plan` of the table `relay`, the data centres that are evacuated are
-//! listed in its row `evacuation`; endpoints are the rows of
-//! `relay-endpoints`, entries those of `relay-entries`, requests that are withheld those of
-//! `relay-withheld`.
+//! The table `relay` holds the plan in its row `plan` and the evacuated data centres in its row
+//! `evacuation`. The table `relay-endpoints` has a row for each endpoint, `relay-entries` for
+//! each entry, and `relay-withheld` for each withheld request.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,27 +26,27 @@
     Addresses, Answer, Endpoints, Error, Evacuations, OperatorUpdate, Source, Update,
 };
 
-const PLANS: &str = "relay";
+const RELAY: &str = "relay";
 const PLAN: &str = "plan";
 const EVACUATION: &str = "evacuation";
 const ENDPOINTS: &str = "relay-endpoints";
 const ENTRIES: &str = "relay-entries";
 const WITHHELD: &str = "relay-withheld";
 
-/// The product's own source.
+/// The source that reads from the product's table service.
 pub struct TableSource {
     platform: Platform,
-    /// The pause before a row is read again, since the table service has no feed.
+    /// The polling interval, as the table service has no change feed.
     poll: Millis,
 }
 
 impl TableSource {
-    /// A source on this platform.
+    /// Creates a source that polls the platform's table service at this interval.
     pub fn new(platform: Platform, poll: Millis) -> Self {
         Self { platform, poll }
     }
 
-    async fn pause(&self, after: Option<u64>, wait: Millis) {
+    async fn wait_poll_interval(&self, after: Option<u64>, wait: Millis) {
         if after.is_some() {
             let pause = Duration::from_millis(self.poll.0.min(wait.0));
             tokio::time::sleep(pause).await;
@@ -59,16 +58,16 @@
         after: Option<u64>,
         wait: Millis,
     ) -> Result<Update<OperatorUpdate>, Error> {
-        self.pause(after, wait).await;
-        let places = [PLAN, EVACUATION].map(|key| Place::new(PLANS, key));
+        self.wait_poll_interval(after, wait).await;
+        let places = [PLAN, EVACUATION].map(|key| Place::new(RELAY, key));
         let rows = self.platform.read(&places).await.map_err(unavailable)?;
         let mut rows = rows.into_iter();
         let (plan, evacuation) = (rows.next().flatten(), rows.next().flatten());
         let cursor = plan.as_ref().map_or(0, |row| row.version);
         let plan = plan.filter(|row| after != Some(row.version));
         let operators = OperatorUpdate {
-            plans: plan.iter().map(decoded).collect(),
-            evacuations: evacuation.as_ref().and_then(evacuated),
+            plans: plan.iter().map(decode_row).collect(),
+            evacuations: evacuation.as_ref().and_then(decode_evacuation),
         };
         Ok(Update {
             cursor,
@@ -82,8 +81,8 @@
         after: Option<u64>,
         wait: Millis,
     ) -> Result<Update<Endpoints>, Error> {
-        self.pause(after, wait).await;
-        let endpoints = self.rows(ENDPOINTS).await?;
+        self.wait_poll_interval(after, wait).await;
+        let endpoints = self.scan_table(ENDPOINTS).await?;
         let cursor = endpoints.iter().map(|row| row.version).max().unwrap_or(0);
         Ok(Update {
             cursor,
@@ -92,8 +91,9 @@
         })
     }
 
-    /// All rows of a table, decoded page by page: large ones that can't be used are not kept.
-    async fn rows<T: Check + DeserializeOwned>(
+    /// Reads all rows of a table. They are decoded page by page, so that large unusable values
+    /// are not kept in memory.
+    async fn scan_table<T: Check + DeserializeOwned>(
         &self,
         table: &str,
     ) -> Result<Vec<source::Row<T>>, Error> {
@@ -105,19 +105,19 @@
         };
         let mut rows = Vec::new();
         loop {
-            let page = self.page(&mut scan).await?;
-            rows.extend(page.iter().map(decoded));
+            let page = self.scan_page(&mut scan).await?;
+            rows.extend(page.iter().map(decode_row));
             match page.last() {
                 Some(last) if page.len() >= scan.limit => scan.after.clone_from(&last.key),
                 _ => return Ok(rows),
             }
-            // Most rows are small, also where those before were not.
+            // Raise the limit again: most rows are small even if the previous ones were not.
             scan.limit = (scan.limit * 2).min(Scan::MOST);
         }
     }
 
-    /// The next rows, as many as one answer holds: the limit falls to that.
-    async fn page(&self, scan: &mut Scan) -> Result<Vec<Row>, Error> {
+    /// Reads the next page. Halves the limit until the page fits into one answer.
+    async fn scan_page(&self, scan: &mut Scan) -> Result<Vec<Row>, Error> {
         loop {
             match self.platform.scan(scan).await {
                 Err(PlatformError::TooLarge) if scan.limit > 1 => scan.limit /= 2,
@@ -136,25 +136,26 @@
     }
 
     async fn read_entries(&self) -> Result<Addresses, Error> {
-        self.rows(ENTRIES).await
+        self.scan_table(ENTRIES).await
     }
 }
 
-// `map_err` hands errors over by value.
+// `map_err` passes errors by value.
 #[allow(clippy::needless_pass_by_value)]
 fn unavailable(error: PlatformError) -> Error {
     Error::Unavailable(error.to_string())
 }
 
-/// The row on data centres that are evacuated.
+/// The value of the row that lists the evacuated data centres.
 #[derive(Deserialize)]
-struct Emptied {
+struct EvacuationRow {
     data_centres: BTreeSet<name::DataCentre>,
 }
 
-/// A row that can't be read changes nothing: it does not say which data centres it is about.
-fn evacuated(row: &Row) -> Option<Evacuations> {
-    match Emptied::deserialize(&row.value) {
+/// Decodes the evacuation row. A malformed row changes nothing, as it does not say which data
+/// centres it concerns.
+fn decode_evacuation(row: &Row) -> Option<Evacuations> {
+    match EvacuationRow::deserialize(&row.value) {
         Ok(it) => Some(Evacuations::All(Evacuation::new(
             row.version,
             it.data_centres,
@@ -169,7 +170,7 @@
     }
 }
 
-fn decoded<T: Check + DeserializeOwned>(row: &Row) -> source::Row<T> {
+fn decode_row<T: Check + DeserializeOwned>(row: &Row) -> source::Row<T> {
     let bytes = serde_json::to_vec(&row.value);
     let bytes = bytes.map_err(|error| RowError::Encoding(error.to_string()));
     source::Row::decode(&row.key, row.version, bytes, |value| value)
@@ -215,6 +216,6 @@
     }
 
     fn list_withheld(&self) -> Answer<'_, Vec<source::Row<Kept>>> {
-        self.rows(WITHHELD).boxed_local()
+        self.scan_table(WITHHELD).boxed_local()
     }
 }
