--- a/crates/relay/src/request/attempt.rs
+++ b/crates/relay/src/request/attempt.rs
@@ -11,7 +11,7 @@
 
 use crate::dialect::{Decline, Reply};
 use crate::request::placement::{MAX_DISCARDED_BYTES, Placement};
-use crate::request::{EndpointResponse, AdmittedRequest, AccessRecord, response, forward};
+use crate::request::{AccessRecord, AdmittedRequest, EndpointResponse, forward, response};
 use crate::state::State;
 use crate::upstream::pool;
 use crate::upstream::{Connection, Error, Head};
--- a/crates/relay/src/request/response.rs
+++ b/crates/relay/src/request/response.rs
@@ -12,7 +12,7 @@
 
 use crate::request::AccessRecord;
 use crate::request::attempt::AttemptError;
-use crate::request::forward::{is_end_to_end, connection_options};
+use crate::request::forward::{connection_options, is_end_to_end};
 use crate::request::placement::Placement;
 use crate::state::State;
 use crate::upstream::{Connection, Error, Framing, Head};
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -23,7 +23,7 @@
 use crate::request::attempt::{AttemptError, attempt};
 use crate::request::crash;
 use crate::request::problem::Code;
-use crate::request::{EndpointResponse, AccessRecord, Problem};
+use crate::request::{AccessRecord, EndpointResponse, Problem};
 use crate::state::State;
 
 /// Maximum number of attempts that fail before any byte is sent.
--- a/crates/relay/src/source/own.rs
+++ b/crates/relay/src/source/table.rs
@@ -1,9 +1,8 @@
-//! The product's own source: rows of the table service, read again and again.
+//! The product's own source, which polls rows of the table service.
 //!
-//! The plan is the row `plan` of the table `relay`, the data centres that are evacuated are
-//! listed in its row `evacuation`; endpoints are the rows of
-//! `relay-endpoints`, entries those of `relay-entries`, requests that are withheld those of
-//! `relay-withheld`.
+//! The table `relay` holds the plan in its row `plan` and the evacuated data centres in its row
+//! `evacuation`. The table `relay-endpoints` has a row for each endpoint, `relay-entries` for
+//! each entry, and `relay-withheld` for each withheld request.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,52 +21,58 @@
 use woodgap_platform::http::Platform;
 use woodgap_platform::table::{Place, Row, Scan, Table, Transaction};
 
-use crate::source::row::{self as source, Check, Unusable};
-use crate::source::{Addresses, Answer, Endpoints, Error, Evacuations, News, Operators, Source};
+use crate::source::row::{self as source, Check, RowError};
+use crate::source::{
+    Addresses, Answer, Endpoints, Error, Evacuations, OperatorUpdate, Source, Update,
+};
 
-const PLANS: &str = "relay";
+const RELAY: &str = "relay";
 const PLAN: &str = "plan";
 const EVACUATION: &str = "evacuation";
 const ENDPOINTS: &str = "relay-endpoints";
 const ENTRIES: &str = "relay-entries";
 const WITHHELD: &str = "relay-withheld";
 
-/// The product's own source.
-pub struct Own {
+/// The source that reads from the product's table service.
+pub struct TableSource {
     platform: Platform,
-    /// The pause before a row is read again, since the table service has no feed.
+    /// The polling interval, as the table service has no change feed.
     poll: Millis,
 }
 
-impl Own {
-    /// A source on this platform.
+impl TableSource {
+    /// Creates a source that polls the platform's table service at this interval.
     pub fn new(platform: Platform, poll: Millis) -> Self {
         Self { platform, poll }
     }
 
-    async fn pause(&self, after: Option<u64>, wait: Millis) {
+    async fn wait_poll_interval(&self, after: Option<u64>, wait: Millis) {
         if after.is_some() {
             let pause = Duration::from_millis(self.poll.0.min(wait.0));
             tokio::time::sleep(pause).await;
         }
     }
 
-    async fn read_plan(&self, after: Option<u64>, wait: Millis) -> Result<News<Operators>, Error> {
-        self.pause(after, wait).await;
-        let places = [PLAN, EVACUATION].map(|key| Place::new(PLANS, key));
+    async fn read_plan(
+        &self,
+        after: Option<u64>,
+        wait: Millis,
+    ) -> Result<Update<OperatorUpdate>, Error> {
+        self.wait_poll_interval(after, wait).await;
+        let places = [PLAN, EVACUATION].map(|key| Place::new(RELAY, key));
         let rows = self.platform.read(&places).await.map_err(unavailable)?;
         let mut rows = rows.into_iter();
         let (plan, evacuation) = (rows.next().flatten(), rows.next().flatten());
         let cursor = plan.as_ref().map_or(0, |row| row.version);
         let plan = plan.filter(|row| after != Some(row.version));
-        let operators = Operators {
-            plans: plan.iter().map(decoded).collect(),
-            evacuations: evacuation.as_ref().and_then(evacuated),
+        let operators = OperatorUpdate {
+            plans: plan.iter().map(decode_row).collect(),
+            evacuations: evacuation.as_ref().and_then(decode_evacuation),
         };
-        Ok(News {
+        Ok(Update {
             cursor,
-            content: operators.news(),
-            made: None,
+            content: operators.non_empty(),
+            produced_at: None,
         })
     }
 
@@ -75,19 +80,20 @@
         &self,
         after: Option<u64>,
         wait: Millis,
-    ) -> Result<News<Endpoints>, Error> {
-        self.pause(after, wait).await;
-        let endpoints = self.rows(ENDPOINTS).await?;
+    ) -> Result<Update<Endpoints>, Error> {
+        self.wait_poll_interval(after, wait).await;
+        let endpoints = self.scan_table(ENDPOINTS).await?;
         let cursor = endpoints.iter().map(|row| row.version).max().unwrap_or(0);
-        Ok(News {
+        Ok(Update {
             cursor,
             content: Some(Endpoints::All(endpoints)),
-            made: None,
+            produced_at: None,
         })
     }
 
-    /// All rows of a table, decoded page by page: large ones that can't be used are not kept.
-    async fn rows<T: Check + DeserializeOwned>(
+    /// Reads all rows of a table. They are decoded page by page, so that large unusable values
+    /// are not kept in memory.
+    async fn scan_table<T: Check + DeserializeOwned>(
         &self,
         table: &str,
     ) -> Result<Vec<source::Row<T>>, Error> {
@@ -99,19 +105,19 @@
         };
         let mut rows = Vec::new();
         loop {
-            let page = self.page(&mut scan).await?;
-            rows.extend(page.iter().map(decoded));
+            let page = self.scan_page(&mut scan).await?;
+            rows.extend(page.iter().map(decode_row));
             match page.last() {
                 Some(last) if page.len() >= scan.limit => scan.after.clone_from(&last.key),
                 _ => return Ok(rows),
             }
-            // Most rows are small, also where those before were not.
+            // Raise the limit again: most rows are small even if the previous ones were not.
             scan.limit = (scan.limit * 2).min(Scan::MOST);
         }
     }
 
-    /// The next rows, as many as one answer holds: the limit falls to that.
-    async fn page(&self, scan: &mut Scan) -> Result<Vec<Row>, Error> {
+    /// Reads the next page. Halves the limit until the page fits into one answer.
+    async fn scan_page(&self, scan: &mut Scan) -> Result<Vec<Row>, Error> {
         loop {
             match self.platform.scan(scan).await {
                 Err(PlatformError::TooLarge) if scan.limit > 1 => scan.limit /= 2,
@@ -130,25 +136,26 @@
     }
 
     async fn read_entries(&self) -> Result<Addresses, Error> {
-        self.rows(ENTRIES).await
+        self.scan_table(ENTRIES).await
     }
 }
 
-// `map_err` hands errors over by value.
+// `map_err` passes errors by value.
 #[allow(clippy::needless_pass_by_value)]
 fn unavailable(error: PlatformError) -> Error {
     Error::Unavailable(error.to_string())
 }
 
-/// The row on data centres that are evacuated.
+/// The value of the row that lists the evacuated data centres.
 #[derive(Deserialize)]
-struct Emptied {
+struct EvacuationRow {
     data_centres: BTreeSet<name::DataCentre>,
 }
 
-/// A row that can't be read changes nothing: it does not say which data centres it is about.
-fn evacuated(row: &Row) -> Option<Evacuations> {
-    match Emptied::deserialize(&row.value) {
+/// Decodes the evacuation row. A malformed row changes nothing, as it does not say which data
+/// centres it concerns.
+fn decode_evacuation(row: &Row) -> Option<Evacuations> {
+    match EvacuationRow::deserialize(&row.value) {
         Ok(it) => Some(Evacuations::All(Evacuation::new(
             row.version,
             it.data_centres,
@@ -163,18 +170,18 @@
     }
 }
 
-fn decoded<T: Check + DeserializeOwned>(row: &Row) -> source::Row<T> {
+fn decode_row<T: Check + DeserializeOwned>(row: &Row) -> source::Row<T> {
     let bytes = serde_json::to_vec(&row.value);
-    let bytes = bytes.map_err(|error| Unusable::Encoding(error.to_string()));
+    let bytes = bytes.map_err(|error| RowError::Encoding(error.to_string()));
     source::Row::decode(&row.key, row.version, bytes, |value| value)
 }
 
-impl Source for Own {
-    fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, News<Operators>> {
+impl Source for TableSource {
+    fn plan(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<OperatorUpdate>> {
         self.read_plan(after, wait).boxed_local()
     }
 
-    fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, News<Endpoints>> {
+    fn endpoints(&self, after: Option<u64>, wait: Millis) -> Answer<'_, Update<Endpoints>> {
         self.read_endpoints(after, wait).boxed_local()
     }
 
@@ -193,22 +200,22 @@
         self.read_entries().boxed_local()
     }
 
-    fn keep<'a>(&'a self, kept: &'a StoredHistory) -> Answer<'a, ()> {
+    fn save_withheld<'a>(&'a self, kept: &'a StoredHistory) -> Answer<'a, ()> {
         async move {
             let value = serde_json::to_value(kept);
-            let value = value.map_err(|error| Error::NotUnderstood(error.to_string()))?;
+            let value = value.map_err(|error| Error::Malformed(error.to_string()))?;
             let place = Place::new(WITHHELD, &kept.told.request.to_string());
             self.write(place, Some(value)).await
         }
         .boxed_local()
     }
 
-    fn forget(&self, request: Fingerprint) -> Answer<'_, ()> {
+    fn delete_withheld(&self, request: Fingerprint) -> Answer<'_, ()> {
         let place = Place::new(WITHHELD, &request.to_string());
         self.write(place, None).boxed_local()
     }
 
-    fn kept(&self) -> Answer<'_, Vec<source::Row<StoredHistory>>> {
-        self.rows(WITHHELD).boxed_local()
+    fn list_withheld(&self) -> Answer<'_, Vec<source::Row<StoredHistory>>> {
+        self.scan_table(WITHHELD).boxed_local()
     }
 }
