--- a/crates/core/src/relay/platform_clock.rs
+++ b/crates/core/src/relay/dating.rs
@@ -21,26 +21,26 @@
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::platform_clock::PlatformClock;
+    /// use woodgap_core::relay::dating::PlatformClock;
     ///
     /// let mut clock = PlatformClock::default();
     /// // A fast response gives a tight bound on the clock offset.
     /// assert_eq!(
-    ///     clock.response_time(Millis(100), Some(Millis(5_000)), Millis(104)),
+    ///     clock.date(Millis(100), Some(Millis(5_000)), Millis(104)),
     ///     Millis(100),
     /// );
     /// // With it, a response that the platform held for two seconds is known to be fresh.
     /// assert_eq!(
-    ///     clock.response_time(Millis(110), Some(Millis(7_005)), Millis(2_109)),
+    ///     clock.date(Millis(110), Some(Millis(7_005)), Millis(2_109)),
     ///     Millis(2_105),
     /// );
     /// // The estimate is never later than the time of receipt.
     /// assert_eq!(
-    ///     clock.response_time(Millis(2_110), Some(Millis(99_000)), Millis(2_114)),
+    ///     clock.date(Millis(2_110), Some(Millis(99_000)), Millis(2_114)),
     ///     Millis(2_114),
     /// );
     /// ```
-    pub fn response_time(
+    pub fn date(
         &mut self,
         requested_at: Millis,
         generated_at: Option<Millis>,
--- a/crates/core/src/relay/polling.rs
+++ b/crates/core/src/relay/duty.rs
@@ -102,7 +102,7 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::polling::has_converged;
+/// use woodgap_core::relay::duty::has_converged;
 ///
 /// assert!(!has_converged(Millis(2_999)));
 /// assert!(has_converged(Millis(3_000)));
@@ -119,7 +119,7 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::polling::{Confirmation, EntryStatus, PollDecision, Subject, decide};
+/// use woodgap_core::relay::duty::{Confirmation, EntryStatus, PollDecision, Subject, decide};
 ///
 /// let poller = EntryStatus {
 ///     rank: 0,
@@ -218,7 +218,7 @@
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::polling::backoff;
+/// use woodgap_core::relay::duty::backoff;
 ///
 /// assert_eq!(backoff(1, 0.0), Millis(150));
 /// assert_eq!(backoff(9, 0.0), Millis(500));
--- a/crates/core/src/relay/engine.rs
+++ b/crates/core/src/relay/engine.rs
@@ -20,11 +20,11 @@
 use crate::clock::Millis;
 use crate::name;
 use crate::relay::RequestProfile;
+use crate::relay::division::Demand;
 use crate::relay::engine_speed::EngineSpeed;
 use crate::relay::fading::DecayingAverage;
 use crate::relay::health::HealthSignal;
 use crate::relay::load_report::PeerReports;
-use crate::relay::partition::Demand;
 use load::Load;
 use subset::ActiveSubset;
 
--- a/crates/core/src/relay/engine/candidates.rs
+++ b/crates/core/src/relay/engine/candidates.rs
@@ -2,8 +2,8 @@
 
 use crate::name;
 use crate::relay::RequestProfile;
+use crate::relay::division::Partition;
 use crate::relay::load_report;
-use crate::relay::partition::Partition;
 use crate::relay::prefix;
 use crate::relay::roster::Endpoint;
 use crate::relay::work::Work;
--- a/crates/core/src/relay/engine/choice.rs
+++ b/crates/core/src/relay/engine/choice.rs
@@ -2,6 +2,7 @@
 
 use crate::clock::Millis;
 use crate::relay::RequestProfile;
+use crate::relay::division::Partition;
 use crate::relay::engine::candidates::PrefixOwners;
 use crate::relay::engine::load::{
     Estimate, Load, estimate_engine, expected_cached, expected_shared, known_cached,
@@ -9,7 +10,6 @@
 use crate::relay::engine::source::PrefixSource;
 use crate::relay::engine::{DEFAULT_SERVICE_TIME, LoadBalancer, candidates};
 use crate::relay::engine_speed::EngineSpeed;
-use crate::relay::partition::Partition;
 use crate::relay::prefix;
 use crate::relay::roster::Endpoint;
 use crate::relay::work::Work;
--- a/crates/core/src/relay/autoscaling.rs
+++ b/crates/core/src/relay/sizing.rs
@@ -77,7 +77,7 @@
 /// with the most reclaimable ones has lost them all.
 ///
 /// ```
-/// use woodgap_core::relay::autoscaling::{EndpointCount, EndpointCounts, guaranteed};
+/// use woodgap_core::relay::sizing::{EndpointCount, EndpointCounts, guaranteed};
 ///
 /// let count = |on_demand, reclaimable| EndpointCount { on_demand, reclaimable };
 /// let counts = EndpointCounts::from([("a".into(), count(5, 10)), ("b".into(), count(0, 4))]);
--- a/crates/core/src/relay/autoscaling/allocation.rs
+++ b/crates/core/src/relay/sizing/allocation.rs
@@ -1,14 +1,14 @@
 //! The cheapest allocation that guarantees a capacity.
 
-use crate::relay::autoscaling::{EndpointCount, EndpointCounts, by_price, guaranteed};
 use crate::relay::plan::Scaling;
+use crate::relay::sizing::{EndpointCount, EndpointCounts, by_price, guaranteed};
 
 /// The cheapest endpoints of which `needed` remain when any one data centre loses all of its
 /// reclaimable ones, or as many as the limits allow.
 ///
 /// ```
 /// use woodgap_core::clock::Millis;
-/// use woodgap_core::relay::autoscaling::{cheapest_allocation, guaranteed};
+/// use woodgap_core::relay::sizing::{cheapest_allocation, guaranteed};
 /// use woodgap_core::relay::plan::Scaling;
 ///
 /// let mut scaling = Scaling {
--- a/crates/core/src/relay/median_clock.rs
+++ b/crates/core/src/relay/true_time.rs
@@ -23,7 +23,7 @@
     ///
     /// ```
     /// use woodgap_core::clock::Millis;
-    /// use woodgap_core::relay::median_clock::MedianClock;
+    /// use woodgap_core::relay::true_time::MedianClock;
     ///
     /// let mut clock = MedianClock::default();
     /// clock.record(&"b".into(), Millis(9_000), Millis(5_000), Millis(0));
--- a/crates/core/tests/relay/polling.rs
+++ b/crates/core/tests/relay/duty.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::polling::{
+use woodgap_core::relay::duty::{
     Confirmation, EntryStatus, PollDecision, Subject, backoff, decide, should_query_back,
 };
 
--- a/crates/core/tests/relay/engine_speed.rs
+++ b/crates/core/tests/relay/engine_speed.rs
@@ -2,9 +2,9 @@
 
 use rstest::rstest;
 use woodgap_core::clock::Millis;
+use woodgap_core::relay::division::Demand;
 use woodgap_core::relay::engine_speed::EngineSpeed;
 use woodgap_core::relay::load_report::RequiredRate;
-use woodgap_core::relay::partition::Demand;
 
 use crate::engine::{Entry, caption, narration, profile};
 
--- a/crates/core/tests/relay/fleet_restart.rs
+++ b/crates/core/tests/relay/fleet_restart.rs
@@ -8,10 +8,10 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::fleet::{Fleet, Member};
-use woodgap_core::relay::polling::{
+use woodgap_core::relay::duty::{
     self, CHECK_INTERVAL, Confirmation, EntryStatus, PollDecision, Subject,
 };
+use woodgap_core::relay::fleet::{Fleet, Member};
 
 use crate::outage::member;
 
@@ -193,7 +193,7 @@
             return;
         }
         let sample = self.random.random();
-        let duty = polling::decide(Subject::Endpoints, &standing, knowledge, sample);
+        let duty = duty::decide(Subject::Endpoints, &standing, knowledge, sample);
         if !self.entries[at].has_endpoints && matches!(duty, PollDecision::Poll(_)) {
             self.entries[at].task = Some(Task::Reading {
                 page: 0,
@@ -220,7 +220,7 @@
         let entry = &mut self.entries[at];
         if !is_served {
             entry.failures += 1;
-            let until = now + polling::backoff(entry.failures, sample);
+            let until = now + duty::backoff(entry.failures, sample);
             entry.task = Some(Task::BackingOff { until });
             return;
         }
--- a/crates/core/tests/relay/outage.rs
+++ b/crates/core/tests/relay/outage.rs
@@ -8,10 +8,10 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
-use woodgap_core::relay::fleet::{Fleet, Member};
-use woodgap_core::relay::polling::{
+use woodgap_core::relay::duty::{
     self, CHECK_INTERVAL, Confirmation, EntryStatus, PollDecision, Subject,
 };
+use woodgap_core::relay::fleet::{Fleet, Member};
 
 /// The time between two gossip rounds.
 const ROUND: Millis = Millis(300);
@@ -141,7 +141,7 @@
         if OUTAGE.contains(&now.0) {
             self.max_age = self.max_age.max(max_age);
         }
-        if polling::is_stale(max_age, self.entries[0].fleet.propagation_time()) {
+        if duty::is_stale(max_age, self.entries[0].fleet.propagation_time()) {
             self.all_confirmed_at = now + STEP;
         }
     }
@@ -166,7 +166,7 @@
             propagation_delay: entry.fleet.propagation_time(),
         };
         let confirmation = Confirmation::Age(now - entry.as_of);
-        let PollDecision::Poll(wait) = polling::decide(Subject::Plan, &status, confirmation, draw)
+        let PollDecision::Poll(wait) = duty::decide(Subject::Plan, &status, confirmation, draw)
         else {
             return;
         };
@@ -196,22 +196,21 @@
         if call.is_answered {
             entry.failures = 0;
             if call.is_drawn {
-                entry.substitute_until =
-                    now + polling::substitute_term(entry.fleet.local_timeout());
+                entry.substitute_until = now + duty::substitute_term(entry.fleet.local_timeout());
             }
             self.confirm(at, now - STEP, now);
         } else {
             entry.failures += 1;
-            entry.retry_at = now + polling::backoff(entry.failures, draw);
+            entry.retry_at = now + duty::backoff(entry.failures, draw);
         }
     }
 
     fn confirm(&mut self, at: usize, as_of: Millis, now: Millis) {
         let entry = &mut self.entries[at];
         let propagation_delay = entry.fleet.propagation_time();
-        let was_stale = polling::is_stale(now - entry.as_of, propagation_delay);
+        let was_stale = duty::is_stale(now - entry.as_of, propagation_delay);
         entry.as_of = entry.as_of.max(as_of);
-        if was_stale && !polling::is_stale(now - entry.as_of, propagation_delay) {
+        if was_stale && !duty::is_stale(now - entry.as_of, propagation_delay) {
             self.round(at, now);
         }
     }
@@ -253,7 +252,7 @@
         }
         // The age in an answer is relative to the time of the query.
         self.send(message.to, message.from, Some(now - STEP), now);
-        if polling::should_query_back(own_age, message.age, propagation_delay) {
+        if duty::should_query_back(own_age, message.age, propagation_delay) {
             self.send(message.to, message.from, None, now);
         }
     }
--- a/crates/core/tests/relay/autoscaling.rs
+++ b/crates/core/tests/relay/sizing.rs
@@ -6,10 +6,10 @@
 use rstest::rstest;
 use woodgap_core::clock::Millis;
 use woodgap_core::name::DataCentre;
-use woodgap_core::relay::autoscaling::{
+use woodgap_core::relay::plan::Scaling;
+use woodgap_core::relay::sizing::{
     Autoscaler, EndpointCount, EndpointCounts, Observation, cheapest_allocation, guaranteed,
 };
-use woodgap_core::relay::plan::Scaling;
 
 /// The time between two steps of the simulation.
 const STEP: Millis = Millis(100);
--- a/crates/core/tests/relay/platform_clock.rs
+++ b/crates/core/tests/relay/time.rs
@@ -2,22 +2,19 @@
 
 use proptest::prelude::*;
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::platform_clock::PlatformClock;
+use woodgap_core::relay::dating::PlatformClock;
 
 #[test]
 fn without_a_platform_clock_the_request_time_is_used() {
     let mut clock = PlatformClock::default();
-    assert_eq!(
-        clock.response_time(Millis(10), None, Millis(2_000)),
-        Millis(10)
-    );
+    assert_eq!(clock.date(Millis(10), None, Millis(2_000)), Millis(10));
 }
 
 #[test]
 fn a_restarted_platform_clock_is_clamped_to_the_request_time() {
     let mut clock = PlatformClock::default();
-    clock.response_time(Millis(1_000), Some(Millis(90_000)), Millis(1_004));
-    let estimate = clock.response_time(Millis(2_000), Some(Millis(5)), Millis(4_000));
+    clock.date(Millis(1_000), Some(Millis(90_000)), Millis(1_004));
+    let estimate = clock.date(Millis(2_000), Some(Millis(5)), Millis(4_000));
     assert_eq!(estimate, Millis(2_000));
 }
 
@@ -35,7 +32,7 @@
             let requested_at = now;
             let generated_at = requested_at + request_delay + hold;
             let received_at = generated_at + response_delay;
-            let estimate = clock.response_time(Millis(requested_at), Some(Millis(generated_at + offset)), Millis(received_at));
+            let estimate = clock.date(Millis(requested_at), Some(Millis(generated_at + offset)), Millis(received_at));
             prop_assert!(estimate <= Millis(generated_at));
             prop_assert!(estimate >= Millis(requested_at));
             now = received_at + 1;
--- a/crates/core/tests/relay/median_clock.rs
+++ b/crates/core/tests/relay/true_time.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use woodgap_core::clock::Millis;
 use woodgap_core::name::Entry;
-use woodgap_core::relay::median_clock::MedianClock;
+use woodgap_core::relay::true_time::MedianClock;
 
 const TRUE_TIME: u64 = 1_700_000_000_000;
 
--- a/crates/relay/src/duties/outlet.rs
+++ b/crates/relay/src/duties/outlet.rs
@@ -2,7 +2,7 @@
 
 use futures_util::future::LocalBoxFuture;
 use woodgap_core::name;
-use woodgap_core::relay::autoscaling::ScaleRequest;
+use woodgap_core::relay::sizing::ScaleRequest;
 use woodgap_core::relay::usage::{Counts, Window};
 use woodgap_platform::Error;
 
--- a/crates/relay/src/duties/scaling.rs
+++ b/crates/relay/src/duties/scaling.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use woodgap_core::clock::Millis;
-use woodgap_core::relay::autoscaling::{Autoscaler, EndpointCount, EndpointCounts, Observation};
 use woodgap_core::relay::plan::Scaling as Limits;
+use woodgap_core::relay::sizing::{Autoscaler, EndpointCount, EndpointCounts, Observation};
 use woodgap_platform::Error;
 
 use crate::duties::outlet::{Order, Ordered};
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -8,8 +8,8 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
 use woodgap_core::relay::active_plan::Offer;
-use woodgap_core::relay::platform_clock::PlatformClock;
-use woodgap_core::relay::polling::{self, CHECK_INTERVAL, PollDecision, Subject};
+use woodgap_core::relay::dating::PlatformClock;
+use woodgap_core::relay::duty::{self, CHECK_INTERVAL, PollDecision, Subject};
 use woodgap_core::relay::roster::{Change, Endpoint};
 use woodgap_core::relay::{Plan, Table};
 
@@ -51,7 +51,7 @@
                     state.ask_endpoints.notify_one();
                 }
                 cursor = Some(news.cursor);
-                let as_of = dating.response_time(asked, news.produced_at, state.now());
+                let as_of = dating.date(asked, news.produced_at, state.now());
                 let OperatorUpdate { plans, evacuations } = news.content.unwrap_or_default();
                 // First, so that no plan is in force without them.
                 if let Some(evacuations) = evacuations {
@@ -240,7 +240,7 @@
         if self.lost_history && self.failures == 1 {
             return;
         }
-        let pause = polling::backoff(self.failures, rand::random());
+        let pause = duty::backoff(self.failures, rand::random());
         tokio::time::sleep(Duration::from_millis(pause.0)).await;
     }
 }
--- a/crates/relay/src/gossip/exchange.rs
+++ b/crates/relay/src/gossip/exchange.rs
@@ -10,9 +10,9 @@
 use tokio::net::UdpSocket;
 use woodgap_core::clock::Millis;
 use woodgap_core::name;
+use woodgap_core::relay::duty;
 use woodgap_core::relay::fleet::Member;
 use woodgap_core::relay::load_report::LoadReport;
-use woodgap_core::relay::polling;
 
 use crate::gossip::message::{
     self, Knowledge, MAX_DATAGRAM_BYTES, MAX_LOADS, MAX_SUSPECTS, MEMBERS_PER_MESSAGE, Message,
@@ -363,8 +363,7 @@
         let own = knowledge(&self.state);
         let theirs = message.knowledge;
         let spread = self.state.fleet.borrow().propagation_time();
-        if theirs.plan == own.plan
-            && polling::should_query_back(own.plan_age, theirs.plan_age, spread)
+        if theirs.plan == own.plan && duty::should_query_back(own.plan_age, theirs.plan_age, spread)
         {
             let query = self.message(0, false);
             self.send_query(query, message.from.peer);
--- a/crates/relay/src/request/access_log.rs
+++ b/crates/relay/src/request/access_log.rs
@@ -5,8 +5,8 @@
 use woodgap_core::clock::Millis;
 use woodgap_core::fingerprint::Fingerprint;
 use woodgap_core::relay::Work;
+use woodgap_core::relay::division;
 use woodgap_core::relay::engine::Choice;
-use woodgap_core::relay::partition;
 use woodgap_core::relay::plan::Route;
 
 use crate::request::Problem;
@@ -112,7 +112,7 @@
     pub fn set_work(&mut self, work: &Work) {
         self.objectives.prompt_tokens = work.prompt_tokens;
         self.objectives.output_tokens = work.expected_output();
-        self.objectives.is_decode_heavy = Some(partition::is_decode_heavy(work));
+        self.objectives.is_decode_heavy = Some(division::is_decode_heavy(work));
     }
 
     /// Sets the service and the workspace.
--- a/crates/relay/src/request/run.rs
+++ b/crates/relay/src/request/run.rs
@@ -10,9 +10,9 @@
 use woodgap_core::name;
 use woodgap_core::relay::RequestProfile;
 use woodgap_core::relay::admission::{self, Decision as Admission, LatencyRequirement};
+use woodgap_core::relay::duty;
 use woodgap_core::relay::engine::Choice;
 use woodgap_core::relay::plan::Kind;
-use woodgap_core::relay::polling;
 use woodgap_core::relay::roster::Endpoint;
 use woodgap_core::relay::shutdown::EndTime;
 use woodgap_core::verdict::Verdict;
@@ -195,7 +195,7 @@
     };
     let roster = state.roster.borrow();
     let warmed = state.warmed.borrow();
-    let is_settled = polling::has_converged(state.life());
+    let is_settled = duty::has_converged(state.life());
     // Computed only if there is a cold endpoint.
     let share = LazyCell::new(|| state.fleet.borrow().warmup_share(rate));
     let may_send = |endpoint: &&Endpoint| {
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -11,12 +11,12 @@
 use woodgap_core::quarantine::{Change, Crash, CrashHistory, Quarantine};
 use woodgap_core::relay::budget::{RetryBudget, RetryLimit};
 use woodgap_core::relay::claim::Claim;
+use woodgap_core::relay::duty::{self, Confirmation, EntryStatus, PollDecision, Subject};
 use woodgap_core::relay::engine::LoadBalancer;
 use woodgap_core::relay::fleet::{Fleet, Member};
-use woodgap_core::relay::median_clock::MedianClock;
-use woodgap_core::relay::polling::{self, Confirmation, EntryStatus, PollDecision, Subject};
 use woodgap_core::relay::rest::IdleLimits;
 use woodgap_core::relay::shutdown::Shutdown;
+use woodgap_core::relay::true_time::MedianClock;
 use woodgap_core::relay::usage::{Meter, UsageTotals, Window};
 use woodgap_core::relay::{ActivePlan, Evacuation, Roster, warming};
 use woodgap_platform::clock::Clock;
@@ -369,13 +369,13 @@
         } else {
             Confirmation::Never
         };
-        polling::decide(subject, &self.standing(), knows, rand::random())
+        duty::decide(subject, &self.standing(), knows, rand::random())
     }
 
     /// Stands in for the readers of the platform for a while: this entry was answered
     /// when nobody's plan was confirmed.
     pub fn stand_in(&self) {
-        let term = polling::substitute_term(self.fleet.borrow().local_timeout());
+        let term = duty::substitute_term(self.fleet.borrow().local_timeout());
         self.acts_until.set(self.now() + term);
         log::info!(for_ms = term.0; "this entry reads the platform for the others");
     }
@@ -392,7 +392,7 @@
 
     fn is_plan_stale(&self) -> bool {
         let age = self.force.borrow().age(self.now());
-        polling::is_stale(age, self.fleet.borrow().propagation_time())
+        duty::is_stale(age, self.fleet.borrow().propagation_time())
     }
 
     /// Whether this entry is among those that others ask first, or knows of no others.
